--- a/benchmarks/placement.cpp
+++ b/benchmarks/placement.cpp
@@ -32,7 +32,7 @@
         }
         gate.allowances().setGateways(weights);
         for (int n = 0; n < endpoints; ++n) {
-            gate.roster().list(listing(n), timers.now());
+            gate.registry().list(listing(n), timers.now());
         }
     }
 
@@ -55,7 +55,7 @@
             EndpointListing it = listing(n);
             it.revision = 2;
             it.coldFor = std::chrono::hours(1);
-            gate.roster().list(it, timers.now());
+            gate.registry().list(it, timers.now());
         }
     }
 
@@ -103,7 +103,7 @@
 void decideColdCall(benchmark::State &state)
 {
     Gateway gateway;
-    const RosterEndpoint &endpoint = gateway.gate.roster().at(0);
+    const RegisteredEndpoint &endpoint = gateway.gate.registry().at(0);
     for (auto _ : state) {
         benchmark::DoNotOptimize(endpoint.coldCalls.isBelow(
             gateway.gate.allowances().ownColdCalls(endpoint.listing.pool, endpoint.hash), gateway.timers.now()));
--- a/src/gateway/callattempt.cpp
+++ b/src/gateway/callattempt.cpp
@@ -160,7 +160,7 @@
                        {field("endpoint", endpoint.value()), field("field", noticeFieldName(unreadable))});
         }
     }
-    const NoticeNews news = m_services.gate.noteNotice(attempt.placement.id, head.notice);
+    const NoticeChanges news = m_services.gate.noteNotice(attempt.placement.id, head.notice);
     if (news.hasLimitChanged) {
         const std::optional<double> &limit = head.notice.callsPerSecond;
         kLog.info(limit ? "endpoint names a limit" : "endpoint names no limit any more",
@@ -222,7 +222,7 @@
 void Call::finish(Attempt &attempt, AttemptResult result)
 {
     if (result == AttemptEnd::WrongEndpoint) {
-        m_services.gate.noteMissed(attempt.placement.id);
+        m_services.gate.noteWrongEndpoint(attempt.placement.id);
     }
     m_services.gate.noteEnded(attempt.placement.id, runEndOf(attempt, result));
     notePoison(attempt, result);
@@ -243,7 +243,7 @@
     const Placement &placement = attempt.placement;
     const bool isLost = failureCode(attempt.failure) == FailureCode::ConnectionLost;
     if (result == AttemptEnd::Broken && isLost && !m_isCallerGone) {
-        const EndpointLife life{placement.endpoint, placement.bornAtMilliseconds};
+        const EndpointIncarnation life{placement.endpoint, placement.startedAtMilliseconds};
         m_services.poison.noteBroken({life, fingerprint(), attempt.crashesBefore}, placement.address);
     }
     if (!result && m_services.poison.isWatching()) {
--- a/src/gateway/cordonlistener.cpp
+++ b/src/gateway/cordonlistener.cpp
@@ -29,7 +29,7 @@
         }
     }
     m_gate.setClosedZones(zones);
-    kLog.info("listed", {field("closed", absl::StrJoin(m_gate.roster().cordons().closedZones(), ","))});
+    kLog.info("listed", {field("closed", absl::StrJoin(m_gate.registry().cordons().closedZones(), ","))});
 }
 
 void CordonListener::objectsChanged(const std::vector<StoredObject> &objects)
--- a/src/gateway/crashprobe.cpp
+++ b/src/gateway/crashprobe.cpp
@@ -23,7 +23,7 @@
 }
 
 CrashProbe::CrashProbe(WorkerPool &workers, TimerService &timers, EndpointConnections &connections,
-                       std::function<void(const EndpointLife &)> onCrashed)
+                       std::function<void(const EndpointIncarnation &)> onCrashed)
     : m_workers(workers)
     , m_timers(timers)
     , m_connections(connections)
@@ -31,7 +31,7 @@
 {
 }
 
-void CrashProbe::ask(const EndpointLife &life, const std::string &address, std::function<void()> callback)
+void CrashProbe::ask(const EndpointIncarnation &life, const std::string &address, std::function<void()> callback)
 {
     std::vector<std::function<void()>> &asking = m_asking[life];
     asking.push_back(std::move(callback));
@@ -40,7 +40,7 @@
     }
 }
 
-net::awaitable<void> CrashProbe::probe(EndpointLife life, std::string address)
+net::awaitable<void> CrashProbe::probe(EndpointIncarnation life, std::string address)
 {
     const std::weak_ptr<int> alive = m_alive;
     co_await awaitPause(m_timers, kSettling);
--- a/src/gateway/crashreports.cpp
+++ b/src/gateway/crashreports.cpp
@@ -60,7 +60,7 @@
 void CrashReports::addCrashed(const CrashedRun &run)
 {
     kLog.info("endpoint crashed under a request",
-              {field("endpoint", run.life.endpoint.value()), field("content", run.request.toString()),
+              {field("endpoint", run.incarnation.endpoint.value()), field("content", run.request.toString()),
                field("crashes", m_detector.crashes(run.request) + 1)});
     add({{run}, {}});
 }
--- a/src/gateway/endpointlistener.cpp
+++ b/src/gateway/endpointlistener.cpp
@@ -38,10 +38,10 @@
         }
     }
     kLog.info("listed", {field("endpoints", listings.size())});
-    for (const EndpointId &endpoint : m_gate.roster().replaceAll(listings, m_timers.now())) {
+    for (const EndpointId &endpoint : m_gate.registry().replaceAll(listings, m_timers.now())) {
         noteReborn(endpoint);
     }
-    m_gate.noteRosterChanged();
+    m_gate.noteRegistryChanged();
 }
 
 void EndpointListener::objectsChanged(const std::vector<StoredObject> &objects)
@@ -49,7 +49,7 @@
     for (const StoredObject &object : objects) {
         apply(object);
     }
-    m_gate.noteRosterChanged();
+    m_gate.noteRegistryChanged();
 }
 
 void EndpointListener::apply(const StoredObject &object)
@@ -66,18 +66,18 @@
 
 void EndpointListener::take(const EndpointListing &listing, std::uint64_t revision)
 {
-    const ListedNews news = m_gate.roster().list(listing, m_timers.now());
-    if (news == ListedNews::Outdated) {
+    const ListingOutcome news = m_gate.registry().list(listing, m_timers.now());
+    if (news == ListingOutcome::Outdated) {
         kLog.info("news of an earlier life ignored",
-                  {field("endpoint", listing.id.value()), field("born_at_ms", listing.bornAtMilliseconds)});
+                  {field("endpoint", listing.id.value()), field("born_at_ms", listing.startedAtMilliseconds)});
         return;
     }
-    if (news == ListedNews::Reborn) {
+    if (news == ListingOutcome::Restarted) {
         noteReborn(listing.id);
     }
     kLog.info(listing.isLeaving ? "leaving" : "listed",
               {field("endpoint", listing.id.value()), field("pool", listing.pool.value()),
-               field("address", listing.address), field("born_at_ms", listing.bornAtMilliseconds),
+               field("address", listing.address), field("born_at_ms", listing.startedAtMilliseconds),
                field("cold_for", listing.coldFor), field("revision", revision)});
     if (listing.isLeaving) {
         m_onUnlisted(listing.id);
@@ -93,7 +93,7 @@
 
 void EndpointListener::unlist(const EndpointId &endpoint)
 {
-    m_gate.roster().unlist(endpoint, m_timers.now());
+    m_gate.registry().unlist(endpoint, m_timers.now());
     m_onUnlisted(endpoint);
 }
 
--- a/src/gateway/endpointlistener.h
+++ b/src/gateway/endpointlistener.h
@@ -11,7 +11,7 @@
 namespace RadishSwitch
 {
 
-/// Brings the platform's list of endpoints into the gate's roster.
+/// Brings the platform's list of endpoints into the gate's registry.
 class EndpointListener : public ObjectListener
 {
 public:
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -58,7 +58,7 @@
     , m_callMetrics(m_metrics)
     , m_link(shedderSettings(m_settings))
     , m_poison(m_workers, m_store, m_connections, m_timers, m_random, m_settings.instance,
-               [this](const EndpointLife &life) {
+               [this](const EndpointIncarnation &life) {
                    m_gate.noteCrashed(life.endpoint);
                    m_connections.forget(life.endpoint);
                })
@@ -192,8 +192,8 @@
 // One that does not know the orders yet would send calls into a zone that is closed.
 bool Gateway::isServing() const
 {
-    const bool knowsCordons = !followsCordons() || m_gate.roster().cordons().isKnown();
-    return m_configuration.table() && m_gate.roster().isKnown() && m_peerRegistry.isKnown() && knowsCordons;
+    const bool knowsCordons = !followsCordons() || m_gate.registry().cordons().isKnown();
+    return m_configuration.table() && m_gate.registry().isKnown() && m_peerRegistry.isKnown() && knowsCordons;
 }
 
 void Gateway::handlePeers(const std::map<std::string, FleetPeer> &peers)
@@ -217,7 +217,7 @@
     m_connections.closeExpired();
     m_poison.reports().removeOld();
     m_limits.removeOld();
-    m_gate.noteRosterChanged();
+    m_gate.noteRegistryChanged();
     logLeftOut();
     updateReady();
     if (Log::isEnabled(LogLevel::Debug)) {
@@ -258,7 +258,7 @@
     follower.setContactCallback([this, prefix](bool isReached) {
         if (isReached) {
             m_homes.forgetFailures();
-            m_gate.roster().noteStoreBack(m_timers.now());
+            m_gate.registry().noteStoreBack(m_timers.now());
         }
         kLog.warning(isReached ? "store reached again" : "store lost", {field("prefix", prefix)});
     });
@@ -398,19 +398,19 @@
         .set(static_cast<double>(m_gate.placed()));
     m_metrics.gauge("radishswitch_calls_waiting", "Calls that wait for an endpoint")
         .set(static_cast<double>(m_gate.waiting()));
-    m_metrics.gauge("radishswitch_endpoints", "Endpoints known").set(static_cast<double>(m_gate.roster().size()));
+    m_metrics.gauge("radishswitch_endpoints", "Endpoints known").set(static_cast<double>(m_gate.registry().size()));
     m_metrics.gauge("radishswitch_zones_closed", "Zones that get no new calls by operators' orders")
-        .set(static_cast<double>(m_gate.roster().cordons().closedZones().size()));
+        .set(static_cast<double>(m_gate.registry().cordons().closedZones().size()));
     m_metrics.gauge("radishswitch_endpoints_cold", "Endpoints that are taken for cold")
-        .set(static_cast<double>(m_gate.roster().countCold(m_timers.now())));
+        .set(static_cast<double>(m_gate.registry().countCold(m_timers.now())));
     m_metrics.gauge("radishswitch_requests_barred", "Requests that are refused since endpoints crashed under them")
         .set(static_cast<double>(m_poison.barredCount()));
     m_metrics.gauge("radishswitch_endpoints_limited", "Endpoints that name a limit")
-        .set(static_cast<double>(m_gate.roster().countLimited(m_timers.now())));
+        .set(static_cast<double>(m_gate.registry().countLimited(m_timers.now())));
     m_metrics.gauge("radishswitch_endpoints_leaving", "Endpoints that leave, by the list or by their own word")
-        .set(static_cast<double>(m_gate.roster().countLeaving(m_timers.now())));
+        .set(static_cast<double>(m_gate.registry().countLeaving(m_timers.now())));
     m_metrics.gauge("radishswitch_endpoints_backed_off", "Endpoints that asked to be sent nothing for a time")
-        .set(static_cast<double>(m_gate.roster().countBackedOff(m_timers.now())));
+        .set(static_cast<double>(m_gate.registry().countBackedOff(m_timers.now())));
     m_metrics.gauge("radishswitch_idle_connections", "Idle connections to endpoints")
         .set(static_cast<double>(m_connections.idleCount()));
     m_metrics.gauge("radishswitch_configuration_version", "Version of the configuration in force")
--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -28,7 +28,7 @@
     parser.addNumber("delay-step", settings.delayStep, 0, 1, "weight of a new delay in an endpoint's average");
     parser.add("zone-distance", settings.zoneDistance, "added for an endpoint of another availability zone");
     parser.add("full-batch", settings.fullBatch, "added for an endpoint with all slots in use, in proportion");
-    parser.addNumber("least-limit", settings.leastLimit, 1, kMostLimit,
+    parser.addNumber("least-limit", settings.minimumLimit, 1, kMostLimit,
                      "calls that an endpoint may have under way, however often it refuses");
     parser.addNumber("ejected-share", settings.ejection.ejectedShare, 0, 1,
                      "share of a pool that may be left out for its failures; 0 for none");
--- a/src/gateway/limitnews.cpp
+++ b/src/gateway/limitnews.cpp
@@ -27,7 +27,7 @@
 /// Gateways that hear the same at once do not all write it.
 constexpr Duration kToldWithin = std::chrono::milliseconds(100);
 /// A limit that still stands is written again so often. Less than it lasts without.
-constexpr Duration kToldAgain = kNamedLimitLasts / 3;
+constexpr Duration kToldAgain = kAnnouncedLimitTtl / 3;
 
 std::string keyOf(const EndpointId &endpoint)
 {
@@ -136,9 +136,9 @@
 void LimitNews::removeOld()
 {
     const Duration late(
-        static_cast<Duration::rep>(m_random.below(static_cast<std::uint64_t>(kNamedLimitLasts.count()))));
+        static_cast<Duration::rep>(m_random.below(static_cast<std::uint64_t>(kAnnouncedLimitTtl.count()))));
     for (const auto &[endpoint, published] : m_published) {
-        if (m_timers.now() - published.at > kNamedLimitLasts + late) {
+        if (m_timers.now() - published.at > kAnnouncedLimitTtl + late) {
             withdraw(endpoint, published);
         }
     }
@@ -183,13 +183,13 @@
         return;
     }
     m_published[endpoint] = {*limit, object.version, m_timers.now()};
-    m_gate.setNamedLimit(endpoint, *limit);
+    m_gate.setAnnouncedLimit(endpoint, *limit);
 }
 
 void LimitNews::forget(const EndpointId &endpoint)
 {
     if (m_published.erase(endpoint) > 0) {
-        m_gate.setNamedLimit(endpoint, std::nullopt);
+        m_gate.setAnnouncedLimit(endpoint, std::nullopt);
     }
 }
 
--- a/src/gateway/partsettings.cpp
+++ b/src/gateway/partsettings.cpp
@@ -84,7 +84,7 @@
     gate.ignoresPressure = settings.ignoresPressure;
     gate.allowances = settings.allowances;
     // Checked when the settings were read.
-    gate.roster.zoneRegions = parseZoneRegions(settings.zoneRegions).value_or(std::map<std::string, std::string>());
+    gate.registry.zoneRegions = parseZoneRegions(settings.zoneRegions).value_or(std::map<std::string, std::string>());
     return gate;
 }
 
--- a/src/gateway/poisonguard.cpp
+++ b/src/gateway/poisonguard.cpp
@@ -19,7 +19,7 @@
 
 PoisonGuard::PoisonGuard(WorkerPool &workers, ObjectStore &store, EndpointConnections &connections,
                          TimerService &timers, RandomSource &random, const std::string &instance,
-                         std::function<void(const EndpointLife &)> onCrashed)
+                         std::function<void(const EndpointIncarnation &)> onCrashed)
     : m_probe(workers, timers, connections, std::move(onCrashed))
     , m_reports(store, timers, random, instance, m_detector)
 {
@@ -35,7 +35,7 @@
 
 void PoisonGuard::noteBroken(const CrashedRun &run, const std::string &address)
 {
-    m_probe.ask(run.life, address, [this, run] {
+    m_probe.ask(run.incarnation, address, [this, run] {
         m_reports.addCrashed(run);
     });
 }
--- a/src/gateway/poisonguard.h
+++ b/src/gateway/poisonguard.h
@@ -12,7 +12,8 @@
 public:
     /// `onCrashed` hears of endpoints that crashed while they had calls of this process.
     PoisonGuard(WorkerPool &workers, ObjectStore &store, EndpointConnections &connections, TimerService &timers,
-                RandomSource &random, const std::string &instance, std::function<void(const EndpointLife &)> onCrashed);
+                RandomSource &random, const std::string &instance,
+                std::function<void(const EndpointIncarnation &)> onCrashed);
 
     /// Whether there is anything to ask the rest about: fingerprints are not made for nothing.
     bool isWatching() const
--- a/src/libradishswitch/serving/callgate.cpp
+++ b/src/libradishswitch/serving/callgate.cpp
@@ -14,9 +14,9 @@
     , m_random(random)
     , m_settings(settings)
     , m_allowances(std::move(self), settings.allowances)
-    , m_roster(settings.roster)
-    , m_admission(m_roster, m_allowances)
-    , m_placement(m_roster, m_admission, random, std::move(ownZone), settings.placement)
+    , m_registry(settings.registry)
+    , m_admission(m_registry, m_allowances)
+    , m_placement(m_registry, m_admission, random, std::move(ownZone), settings.placement)
 {
 }
 
@@ -27,20 +27,20 @@
 
 void CallGate::setClosedZones(const std::vector<std::string> &zones)
 {
-    takeForCold(m_roster.setClosedZones(zones));
-    noteRosterChanged();
+    takeForCold(m_registry.setClosedZones(zones));
+    noteRegistryChanged();
 }
 
 void CallGate::closeZone(const std::string &zone)
 {
-    m_roster.closeZone(zone);
-    noteRosterChanged();
+    m_registry.closeZone(zone);
+    noteRegistryChanged();
 }
 
 void CallGate::openZone(const std::string &zone)
 {
-    takeForCold(m_roster.openZone(zone));
-    noteRosterChanged();
+    takeForCold(m_registry.openZone(zone));
+    noteRegistryChanged();
 }
 
 // Endpoints of a zone that was closed may have become cold since, and their entries tell it seconds later. By then all
@@ -48,7 +48,7 @@
 void CallGate::takeForCold(const std::vector<EndpointSlot> &slots)
 {
     for (const EndpointSlot slot : slots) {
-        m_roster.extendCold(slot, m_timers.now() + m_allowances.usualColdSpan(m_roster.at(slot).listing.pool));
+        m_registry.extendCold(slot, m_timers.now() + m_allowances.usualColdSpan(m_registry.at(slot).listing.pool));
     }
 }
 
@@ -108,13 +108,13 @@
     if (!slot) {
         return false;
     }
-    const EndpointListing &listing = m_roster.at(*slot).listing;
+    const EndpointListing &listing = m_registry.at(*slot).listing;
     const Placement placement{++m_lastPlacement,
                               listing.id,
                               listing.address,
                               listing.zone,
                               m_placement.expectedFirstAnswer(*slot, query, now),
-                              listing.bornAtMilliseconds};
+                              listing.startedAtMilliseconds};
     const std::int64_t unread = m_placement.noteSent(*slot, query, now);
     m_placed.insert_or_assign(placement.id, Placed{*slot, query.pool, unread, now, query.lateAfter});
     callback(placement);
@@ -180,18 +180,18 @@
     }
 }
 
-NoticeNews CallGate::noteNotice(PlacementId placement, const EndpointNotice &notice)
+NoticeChanges CallGate::noteNotice(PlacementId placement, const EndpointNotice &notice)
 {
     const auto it = m_placed.find(placement);
     if (it == m_placed.end()) {
         return {};
     }
-    NoticeNews news;
+    NoticeChanges news;
     if (std::ranges::find(notice.unreadable, NoticeField::Limit) == notice.unreadable.end()) {
-        news.hasLimitChanged = noteNamedLimit(it->second, notice.callsPerSecond);
+        news.hasLimitChanged = noteAnnouncedLimit(it->second, notice.callsPerSecond);
     }
     if (notice.isLeaving) {
-        news.isLeavingNow = m_roster.noteLeaving(it->second.slot);
+        news.isLeavingNow = m_registry.noteLeaving(it->second.slot);
     }
     if (notice.backoff) {
         const EndpointSlot slot = it->second.slot;
@@ -246,33 +246,33 @@
     return it != m_placed.end() && m_admission.mayStillBeSent(it->second.slot, m_timers.now());
 }
 
-bool CallGate::noteNamedLimit(const Placed &placed, std::optional<double> callsPerSecond)
+bool CallGate::noteAnnouncedLimit(const Placed &placed, std::optional<double> callsPerSecond)
 {
-    const RosterEndpoint &endpoint = m_roster.at(placed.slot);
-    if (!callsPerSecond && (!endpoint.namedLimit || placed.at < endpoint.namedLimitAt)) {
+    const RegisteredEndpoint &endpoint = m_registry.at(placed.slot);
+    if (!callsPerSecond && (!endpoint.announcedLimit || placed.at < endpoint.announcedLimitAt)) {
         return false;
     }
-    m_roster.setNamedLimit(placed.slot, callsPerSecond, m_timers.now());
+    m_registry.setAnnouncedLimit(placed.slot, callsPerSecond, m_timers.now());
     return true;
 }
 
-void CallGate::setNamedLimit(const EndpointId &endpoint, std::optional<double> callsPerSecond)
+void CallGate::setAnnouncedLimit(const EndpointId &endpoint, std::optional<double> callsPerSecond)
 {
-    if (const std::optional<EndpointSlot> slot = m_roster.slotOf(endpoint)) {
-        m_roster.setNamedLimit(*slot, callsPerSecond, m_timers.now());
+    if (const std::optional<EndpointSlot> slot = m_registry.slotOf(endpoint)) {
+        m_registry.setAnnouncedLimit(*slot, callsPerSecond, m_timers.now());
     }
 }
 
-void CallGate::noteMissed(PlacementId placement)
+void CallGate::noteWrongEndpoint(PlacementId placement)
 {
     if (const auto it = m_placed.find(placement); it != m_placed.end()) {
-        m_roster.noteMissed(it->second.slot);
+        m_registry.noteWrongEndpoint(it->second.slot);
     }
 }
 
 void CallGate::noteCrashed(const EndpointId &endpoint)
 {
-    if (const std::optional<EndpointSlot> slot = m_roster.slotOf(endpoint)) {
+    if (const std::optional<EndpointSlot> slot = m_registry.slotOf(endpoint)) {
         m_placement.noteCrashed(*slot, m_timers.now());
     }
 }
@@ -344,9 +344,9 @@
     refuse(queue->second.expire(now));
 }
 
-void CallGate::noteRosterChanged()
+void CallGate::noteRegistryChanged()
 {
-    for (const EndpointSlot slot : m_roster.forgetGone(m_timers.now())) {
+    for (const EndpointSlot slot : m_registry.forgetGone(m_timers.now())) {
         m_placement.forget(slot);
     }
     for (const auto &[pool, queue] : m_queues) {
--- a/src/libradishswitch/serving/callgate.h
+++ b/src/libradishswitch/serving/callgate.h
@@ -28,7 +28,7 @@
     /// Calls are sent also where endpoints answer late already.
     bool ignoresPressure = false;
     PlacementSettings placement;
-    EndpointRosterSettings roster;
+    EndpointRegistrySettings registry;
     AllowanceSettings allowances;
 };
 
@@ -49,14 +49,14 @@
     CallGate(const CallGate &) = delete;
     CallGate &operator=(const CallGate &) = delete;
 
-    EndpointRoster &roster()
+    EndpointRegistry &registry()
     {
-        return m_roster;
+        return m_registry;
     }
 
-    const EndpointRoster &roster() const
+    const EndpointRegistry &registry() const
     {
-        return m_roster;
+        return m_registry;
     }
 
     CallAllowances &allowances()
@@ -85,7 +85,7 @@
 
     /// What the endpoint said of itself in an answer to the call. An answer without a limit to a call that was sent
     /// before the limit was heard of does not end it.
-    NoticeNews noteNotice(PlacementId placement, const EndpointNotice &notice);
+    NoticeChanges noteNotice(PlacementId placement, const EndpointNotice &notice);
 
     /// Whether a call that was placed may still be sent: its endpoint may have said otherwise since.
     bool mayStillBeSent(PlacementId placement) const;
@@ -95,10 +95,10 @@
     std::optional<std::chrono::milliseconds> untilBackoffEnds(const PlacementQuery &query) const;
 
     /// A limit, or its end, as another gateway has heard it.
-    void setNamedLimit(const EndpointId &endpoint, std::optional<double> callsPerSecond);
+    void setAnnouncedLimit(const EndpointId &endpoint, std::optional<double> callsPerSecond);
 
     /// Another endpoint answered at the address of the one that was chosen.
-    void noteMissed(PlacementId placement);
+    void noteWrongEndpoint(PlacementId placement);
 
     /// The endpoint's process has ended, and its entry may stand for seconds.
     void noteCrashed(const EndpointId &endpoint);
@@ -107,7 +107,7 @@
     void noteEnded(PlacementId placement, RunEnd end);
 
     /// The list of endpoints has changed: some that wait may go on.
-    void noteRosterChanged();
+    void noteRegistryChanged();
 
     std::size_t waiting() const;
 
@@ -134,7 +134,7 @@
     };
 
     absl::Status refusalOf(const PlacementQuery &query, const absl::Status &status) const;
-    bool noteNamedLimit(const Placed &placed, std::optional<double> callsPerSecond);
+    bool noteAnnouncedLimit(const Placed &placed, std::optional<double> callsPerSecond);
     void refuseWhileAllBackedOff(PoolId pool);
     std::optional<absl::Status> whileAllBackedOff(const PlacementQuery &query) const;
     void takeForCold(const std::vector<EndpointSlot> &slots);
@@ -152,7 +152,7 @@
     RandomSource &m_random;
     const CallGateSettings m_settings;
     CallAllowances m_allowances;
-    EndpointRoster m_roster;
+    EndpointRegistry m_registry;
     EndpointAdmission m_admission;
     CallPlacement m_placement;
     std::map<PoolId, FairQueue> m_queues;
--- a/src/libradishswitch/serving/callplacement.cpp
+++ b/src/libradishswitch/serving/callplacement.cpp
@@ -43,9 +43,9 @@
     }
 }
 
-CallPlacement::CallPlacement(EndpointRoster &roster, const EndpointAdmission &admission, RandomSource &random,
+CallPlacement::CallPlacement(EndpointRegistry &registry, const EndpointAdmission &admission, RandomSource &random,
                              std::string ownZone, PlacementSettings settings)
-    : m_roster(roster)
+    : m_registry(registry)
     , m_admission(admission)
     , m_random(random)
     , m_ownZone(std::move(ownZone))
@@ -58,9 +58,9 @@
     if (const auto slot = cheapest(query, Choosiness::Usual, now)) {
         return slot;
     }
-    const std::vector<EndpointSlot> &slots = m_roster.pool(query.pool);
+    const std::vector<EndpointSlot> &slots = m_registry.pool(query.pool);
     const bool isUsualBusy = std::ranges::any_of(slots, [&](EndpointSlot slot) {
-        const RosterEndpoint &it = m_roster.at(slot);
+        const RegisteredEndpoint &it = m_registry.at(slot);
         return m_admission.isInUse(slot, query, now) && (it.inFlight > 0 || it.backoff.isOn(now));
     });
     return isUsualBusy ? std::nullopt : cheapest(query, Choosiness::AnyAlive, now);
@@ -68,7 +68,7 @@
 
 bool CallPlacement::hasUsable(const PlacementQuery &query, Instant now) const
 {
-    return std::ranges::any_of(m_roster.pool(query.pool), [&](EndpointSlot slot) {
+    return std::ranges::any_of(m_registry.pool(query.pool), [&](EndpointSlot slot) {
         return m_admission.isOpen(slot, query, now);
     });
 }
@@ -76,11 +76,11 @@
 std::optional<Duration> CallPlacement::untilBackoffEnds(const PlacementQuery &query, Instant now) const
 {
     std::optional<Instant> first;
-    for (const EndpointSlot slot : m_roster.pool(query.pool)) {
+    for (const EndpointSlot slot : m_registry.pool(query.pool)) {
         if (!m_admission.isOpen(slot, query, now)) {
             continue;
         }
-        const EndpointBackoff &backoff = m_roster.at(slot).backoff;
+        const EndpointBackoff &backoff = m_registry.at(slot).backoff;
         if (!backoff.isOn(now)) {
             return std::nullopt;
         }
@@ -91,7 +91,7 @@
 
 bool CallPlacement::isHeldByAllowances(const PlacementQuery &query, Instant now) const
 {
-    return std::ranges::any_of(m_roster.pool(query.pool), [&](EndpointSlot slot) {
+    return std::ranges::any_of(m_registry.pool(query.pool), [&](EndpointSlot slot) {
         return m_admission.admission(slot, query, now) == Admission::PartUsedUp;
     });
 }
@@ -100,7 +100,7 @@
                                 Instant now) const
 {
     const Admission admission = m_admission.admission(slot, query, now);
-    const bool isLastResort = admission == Admission::Ejected || admission == Admission::Doubtful;
+    const bool isLastResort = admission == Admission::Ejected || admission == Admission::Suspect;
     return admission == Admission::Allowed || (choosiness == Choosiness::AnyAlive && isLastResort);
 }
 
@@ -108,7 +108,7 @@
 {
     const std::optional<EndpointSlot> home = homeOf(query, choosiness, now);
     const Prompt prompt(query.parts);
-    const std::vector<EndpointSlot> &slots = m_roster.pool(query.pool);
+    const std::vector<EndpointSlot> &slots = m_registry.pool(query.pool);
     std::optional<EndpointSlot> best;
     double bestCost = 0;
     std::uint64_t equals = 0;
@@ -139,13 +139,13 @@
     const std::uint64_t key = query.parts[shared - 1].id;
     std::optional<EndpointSlot> home;
     std::uint64_t best = 0;
-    for (const EndpointSlot slot : m_roster.pool(query.pool)) {
+    for (const EndpointSlot slot : m_registry.pool(query.pool)) {
         const bool isEligible = choosiness == Choosiness::Usual ? m_admission.isInUse(slot, query, now)
                                                                 : m_admission.isOpen(slot, query, now);
-        if (!isEligible || m_roster.at(slot).backoff.isOn(now)) {
+        if (!isEligible || m_registry.at(slot).backoff.isOn(now)) {
             continue;
         }
-        const std::uint64_t score = rendezvousScore(m_roster.at(slot).hash, key);
+        const std::uint64_t score = rendezvousScore(m_registry.at(slot).hash, key);
         if (!home || score > best) {
             home = slot;
             best = score;
@@ -162,7 +162,7 @@
 double CallPlacement::cost(EndpointSlot slot, const PlacementQuery &query, const Prompt &prompt,
                            std::optional<EndpointSlot> home, Instant now) const
 {
-    const RosterEndpoint &it = m_roster.at(slot);
+    const RegisteredEndpoint &it = m_registry.at(slot);
     std::int64_t toRead = tokensToRead(slot, prompt);
     const std::int64_t own = prompt.tokensFrom[sharedParts(query.parts)];
     // Other processes send their calls with this part to its home, so that it has read the part also where this process
@@ -172,13 +172,13 @@
     }
     const double reread = m_settings.rereadFactor * static_cast<double>(std::max<std::int64_t>(toRead - own, 0));
     const double tokens = static_cast<double>(toRead + it.unreadTokens) + reread;
-    const double batch = static_cast<double>(it.inFlight) / std::max(it.limit, 1.0);
+    const double batch = static_cast<double>(it.inFlight) / std::max(it.inFlightLimit, 1.0);
     const double zone = it.listing.zone == m_ownZone ? 0 : seconds(m_settings.zoneDistance);
     return tokens / readTokensPerSecond(query.pool) + batch * seconds(m_settings.fullBatch) + zone
         + delaySeconds(it, now);
 }
 
-double CallPlacement::delaySeconds(const RosterEndpoint &endpoint, Instant now) const
+double CallPlacement::delaySeconds(const RegisteredEndpoint &endpoint, Instant now) const
 {
     if (endpoint.delaySeconds <= 0) {
         return 0;
@@ -198,9 +198,9 @@
 double CallPlacement::pressure(const PlacementQuery &query, Instant now) const
 {
     std::optional<double> least;
-    for (const EndpointSlot slot : m_roster.pool(query.pool)) {
+    for (const EndpointSlot slot : m_registry.pool(query.pool)) {
         if (isCandidate(slot, query, Choosiness::Usual, now)) {
-            const double pressure = m_roster.at(slot).pressure.value(now);
+            const double pressure = m_registry.at(slot).pressure.value(now);
             least = least ? std::min(*least, pressure) : pressure;
         }
     }
@@ -209,22 +209,22 @@
 
 void CallPlacement::notePressure(EndpointSlot slot, bool isLate, Instant now)
 {
-    m_roster.at(slot).pressure.noteAnswer(isLate, now);
+    m_registry.at(slot).pressure.noteAnswer(isLate, now);
 }
 
 std::int64_t CallPlacement::noteSent(EndpointSlot slot, const PlacementQuery &query, Instant now)
 {
-    RosterEndpoint &it = m_roster.at(slot);
+    RegisteredEndpoint &it = m_registry.at(slot);
     const Prompt prompt(query.parts);
     const std::int64_t unread = tokensToRead(slot, prompt);
     m_hints.noteDispatched(slot, prompt.chain);
     it.inFlight += 1;
     it.unreadTokens += unread;
     it.ejection.noteDispatched(now);
-    if (m_roster.isCold(slot, now)) {
+    if (m_registry.isCold(slot, now)) {
         it.coldCalls.note(now);
     }
-    if (m_roster.isLimited(slot, now)) {
+    if (m_registry.isLimited(slot, now)) {
         it.limitedCalls.note(now);
     }
     return unread;
@@ -232,13 +232,13 @@
 
 void CallPlacement::noteRead(EndpointSlot slot, std::int64_t unread)
 {
-    RosterEndpoint &it = m_roster.at(slot);
+    RegisteredEndpoint &it = m_registry.at(slot);
     it.unreadTokens = std::max<std::int64_t>(it.unreadTokens - unread, 0);
 }
 
 void CallPlacement::noteFirstAnswer(EndpointSlot slot, std::int64_t unread, Duration taken, Instant now)
 {
-    RosterEndpoint &it = m_roster.at(slot);
+    RegisteredEndpoint &it = m_registry.at(slot);
     const double expected = static_cast<double>(unread) / readTokensPerSecond(it.listing.pool);
     const double late = std::max(seconds(taken) - expected, 0.0);
     const double before = delaySeconds(it, now);
@@ -251,20 +251,21 @@
 
 void CallPlacement::noteEnded(EndpointSlot slot, RunEnd end, Instant now)
 {
-    RosterEndpoint &it = m_roster.at(slot);
+    RegisteredEndpoint &it = m_registry.at(slot);
     const double fullLimit = std::max(it.listing.slots, 1);
-    const bool wasAtLimit = it.inFlight >= static_cast<int>(it.limit);
+    const bool wasAtLimit = it.inFlight >= static_cast<int>(it.inFlightLimit);
     it.inFlight -= 1;
     switch (end) {
     case RunEnd::Ok:
         if (wasAtLimit) {
-            it.limit = std::min(fullLimit, it.limit + (it.limit < it.quickLimit ? 1 : 1 / it.limit));
+            it.inFlightLimit = std::min(
+                fullLimit, it.inFlightLimit + (it.inFlightLimit < it.fastGrowthLimit ? 1 : 1 / it.inFlightLimit));
         }
         it.ejection.noteSucceeded(m_settings.ejection, now);
         return;
     case RunEnd::Refused:
         // The endpoint is full with the work of others: half as much until it takes work again.
-        it.limit = std::max(m_settings.leastLimit, it.limit / 2);
+        it.inFlightLimit = std::max(m_settings.minimumLimit, it.inFlightLimit / 2);
         it.pause.noteRefused(m_settings.pause, now);
         it.ejection.noteNeutral();
         return;
@@ -279,34 +280,34 @@
 
 bool CallPlacement::noteBackoff(EndpointSlot slot, Duration backoff, std::size_t gateways, Instant now)
 {
-    RosterEndpoint &it = m_roster.at(slot);
+    RegisteredEndpoint &it = m_registry.at(slot);
     const bool wasBackedOff = it.backoff.isOn(now);
     if (!it.backoff.extend(backoff, gateways, m_random.fraction(), now, m_settings.backoff)) {
         return false;
     }
     if (!wasBackedOff) {
-        it.quickLimit = it.limit / 2;
-        it.limit = m_settings.leastLimit;
+        it.fastGrowthLimit = it.inFlightLimit / 2;
+        it.inFlightLimit = m_settings.minimumLimit;
     }
     return true;
 }
 
 void CallPlacement::noteTaken(EndpointSlot slot, Instant sentAt)
 {
-    m_roster.at(slot).backoff.noteTaken(sentAt);
-    m_roster.at(slot).pause.noteTaken(sentAt);
+    m_registry.at(slot).backoff.noteTaken(sentAt);
+    m_registry.at(slot).pause.noteTaken(sentAt);
 }
 
 void CallPlacement::noteFailed(EndpointSlot slot, Instant now)
 {
-    if (m_roster.at(slot).ejection.noteFailed(m_settings.ejection, now)) {
+    if (m_registry.at(slot).ejection.noteFailed(m_settings.ejection, now)) {
         ejectUnlessTooMany(slot, now);
     }
 }
 
 void CallPlacement::noteCrashed(EndpointSlot slot, Instant now)
 {
-    if (!m_roster.at(slot).ejection.isEjected(now)) {
+    if (!m_registry.at(slot).ejection.isEjected(now)) {
         ejectUnlessTooMany(slot, now);
     }
 }
@@ -315,12 +316,12 @@
 // outage.
 void CallPlacement::ejectUnlessTooMany(EndpointSlot slot, Instant now)
 {
-    const std::vector<EndpointSlot> &slots = m_roster.pool(m_roster.at(slot).listing.pool);
+    const std::vector<EndpointSlot> &slots = m_registry.pool(m_registry.at(slot).listing.pool);
     const auto ejected = std::ranges::count_if(slots, [&](EndpointSlot other) {
-        return m_roster.at(other).ejection.isEjected(now);
+        return m_registry.at(other).ejection.isEjected(now);
     });
     if (static_cast<double>(ejected + 1) <= m_settings.ejection.ejectedShare * static_cast<double>(slots.size())) {
-        m_roster.at(slot).ejection.eject(m_settings.ejection, now);
+        m_registry.at(slot).ejection.eject(m_settings.ejection, now);
     }
 }
 
@@ -331,7 +332,7 @@
 
 Duration CallPlacement::expectedFirstAnswer(EndpointSlot slot, const PlacementQuery &query, Instant now) const
 {
-    const RosterEndpoint &it = m_roster.at(slot);
+    const RegisteredEndpoint &it = m_registry.at(slot);
     const double tokens = static_cast<double>(tokensToRead(slot, Prompt(query.parts)) + it.unreadTokens);
     const double span = tokens / readTokensPerSecond(query.pool) + delaySeconds(it, now);
     return Duration(static_cast<Duration::rep>(span * 1e6));
--- a/src/libradishswitch/serving/callplacement.h
+++ b/src/libradishswitch/serving/callplacement.h
@@ -4,7 +4,7 @@
 #include "routing/prefixcachehints.h"
 #include "routing/routequery.h"
 #include "serving/endpointadmission.h"
-#include "serving/endpointroster.h"
+#include "serving/endpointregistry.h"
 #include "serving/placementquery.h"
 #include "serving/placementsettings.h"
 #include "serving/readingspeed.h"
@@ -24,8 +24,8 @@
 class CallPlacement
 {
 public:
-    CallPlacement(EndpointRoster &roster, const EndpointAdmission &admission, RandomSource &random, std::string ownZone,
-                  PlacementSettings settings = {});
+    CallPlacement(EndpointRegistry &registry, const EndpointAdmission &admission, RandomSource &random,
+                  std::string ownZone, PlacementSettings settings = {});
 
     /// The endpoint with the least time to the first answer among those that have room; nothing when none has.
     std::optional<EndpointSlot> choose(const PlacementQuery &query, Instant now);
@@ -98,11 +98,11 @@
     std::int64_t tokensToRead(EndpointSlot slot, const Prompt &prompt) const;
     double cost(EndpointSlot slot, const PlacementQuery &query, const Prompt &prompt, std::optional<EndpointSlot> home,
                 Instant now) const;
-    double delaySeconds(const RosterEndpoint &endpoint, Instant now) const;
+    double delaySeconds(const RegisteredEndpoint &endpoint, Instant now) const;
     double readTokensPerSecond(const PoolId &pool) const;
     void ejectUnlessTooMany(EndpointSlot slot, Instant now);
 
-    EndpointRoster &m_roster;
+    EndpointRegistry &m_registry;
     const EndpointAdmission &m_admission;
     RandomSource &m_random;
     const std::string m_ownZone;
--- a/src/libradishswitch/serving/crashreport.h
+++ b/src/libradishswitch/serving/crashreport.h
@@ -10,25 +10,25 @@
 namespace RadishSwitch
 {
 
-/// One life of an endpoint: one that starts again may keep its id.
-struct EndpointLife {
+/// One incarnation of an endpoint: one that starts again may keep its id.
+struct EndpointIncarnation {
     EndpointId endpoint;
     /// As in its listing.
-    std::int64_t bornAtMilliseconds = 0;
+    std::int64_t startedAtMilliseconds = 0;
 
-    auto operator<=>(const EndpointLife &) const = default;
-    bool operator==(const EndpointLife &) const = default;
+    auto operator<=>(const EndpointIncarnation &) const = default;
+    bool operator==(const EndpointIncarnation &) const = default;
 
     template<typename H>
-    friend H AbslHashValue(H h, const EndpointLife &it)
+    friend H AbslHashValue(H h, const EndpointIncarnation &it)
     {
-        return H::combine(std::move(h), it.endpoint, it.bornAtMilliseconds);
+        return H::combine(std::move(h), it.endpoint, it.startedAtMilliseconds);
     }
 };
 
 /// A run that broke off when its endpoint crashed.
 struct CrashedRun {
-    EndpointLife life;
+    EndpointIncarnation incarnation;
     RequestFingerprint request;
     /// Crashes that counted against the request when this run was sent.
     int crashesBefore = 0;
--- a/src/libradishswitch/serving/crashreportformat.cpp
+++ b/src/libradishswitch/serving/crashreportformat.cpp
@@ -33,8 +33,8 @@
 {
     nlohmann::json crashed = nlohmann::json::array();
     for (const CrashedRun &run : report.crashed) {
-        crashed.push_back({{kEndpointField, run.life.endpoint.value()},
-                           {kBornField, run.life.bornAtMilliseconds},
+        crashed.push_back({{kEndpointField, run.incarnation.endpoint.value()},
+                           {kBornField, run.incarnation.startedAtMilliseconds},
                            {kRequestField, run.request.toString()},
                            {kBeforeField, run.crashesBefore}});
     }
@@ -55,9 +55,9 @@
             if (!request.ok()) {
                 return request.status();
             }
-            const EndpointLife life{EndpointId(it.at(kEndpointField).get<std::string>()),
-                                    it.at(kBornField).get<std::int64_t>()};
-            report.crashed.push_back({life, *request, it.at(kBeforeField).get<int>()});
+            const EndpointIncarnation incarnation{EndpointId(it.at(kEndpointField).get<std::string>()),
+                                                  it.at(kBornField).get<std::int64_t>()};
+            report.crashed.push_back({incarnation, *request, it.at(kBeforeField).get<int>()});
         }
         for (const nlohmann::json &it : json.at(kAnsweredField)) {
             const absl::StatusOr<RequestFingerprint> request = readRequest(it);
--- a/src/libradishswitch/serving/endpointadmission.cpp
+++ b/src/libradishswitch/serving/endpointadmission.cpp
@@ -8,27 +8,27 @@
 namespace
 {
 
-bool isOpenStanding(RosterStanding standing)
+bool acceptsCalls(EndpointAvailability availability)
 {
-    return standing == RosterStanding::Usable || standing == RosterStanding::Doubtful;
+    return availability == EndpointAvailability::Usable || availability == EndpointAvailability::Suspect;
 }
 
 }
 
-EndpointAdmission::EndpointAdmission(const EndpointRoster &roster, const CallAllowances &allowances)
-    : m_roster(roster)
+EndpointAdmission::EndpointAdmission(const EndpointRegistry &registry, const CallAllowances &allowances)
+    : m_registry(registry)
     , m_allowances(allowances)
 {
 }
 
 Admission EndpointAdmission::admission(EndpointSlot slot, const PlacementQuery &query, Instant now) const
 {
-    const RosterEndpoint &it = m_roster.at(slot);
+    const RegisteredEndpoint &it = m_registry.at(slot);
     if (!query.regions.allows(it.region)) {
         return Admission::OutsideRegions;
     }
-    const RosterStanding standing = m_roster.standing(slot, now);
-    if (!isOpenStanding(standing)) {
+    const EndpointAvailability availability = m_registry.availability(slot, now);
+    if (!acceptsCalls(availability)) {
         return Admission::Closed;
     }
     if (it.backoff.isOn(now)) {
@@ -37,45 +37,46 @@
     if (std::ranges::find(query.excluded, it.listing.id) != query.excluded.end()) {
         return Admission::Tried;
     }
-    if (it.inFlight >= static_cast<int>(it.limit) || it.pause.isOn(now)) {
+    if (it.inFlight >= static_cast<int>(it.inFlightLimit) || it.pause.isOn(now)) {
         return Admission::Full;
     }
     if (isPartUsedUp(slot, now)) {
         return Admission::PartUsedUp;
     }
-    if (standing == RosterStanding::Doubtful) {
-        return Admission::Doubtful;
+    if (availability == EndpointAvailability::Suspect) {
+        return Admission::Suspect;
     }
     return it.ejection.isAllowed(now) ? Admission::Allowed : Admission::Ejected;
 }
 
 bool EndpointAdmission::isInUse(EndpointSlot slot, const PlacementQuery &query, Instant now) const
 {
-    const RosterEndpoint &it = m_roster.at(slot);
-    return query.regions.allows(it.region) && m_roster.standing(slot, now) == RosterStanding::Usable
+    const RegisteredEndpoint &it = m_registry.at(slot);
+    return query.regions.allows(it.region) && m_registry.availability(slot, now) == EndpointAvailability::Usable
         && it.ejection.isAllowed(now);
 }
 
 bool EndpointAdmission::isOpen(EndpointSlot slot, const PlacementQuery &query, Instant now) const
 {
-    return query.regions.allows(m_roster.at(slot).region) && isOpenStanding(m_roster.standing(slot, now));
+    return query.regions.allows(m_registry.at(slot).region) && acceptsCalls(m_registry.availability(slot, now));
 }
 
 bool EndpointAdmission::mayStillBeSent(EndpointSlot slot, Instant now) const
 {
-    return isOpenStanding(m_roster.standing(slot, now)) && !m_roster.at(slot).backoff.isOn(now);
+    return acceptsCalls(m_registry.availability(slot, now)) && !m_registry.at(slot).backoff.isOn(now);
 }
 
 // Sent more than it bears while it is cold, an endpoint crashes, and its calls with it. One that names a limit is in
 // need.
 bool EndpointAdmission::isPartUsedUp(EndpointSlot slot, Instant now) const
 {
-    const RosterEndpoint &it = m_roster.at(slot);
-    const bool isLimited = m_roster.isLimited(slot, now);
-    if (isLimited && !it.limitedCalls.isBelow(m_allowances.ownCalls(*it.namedLimit, kNamedLimitSpan, it.hash), now)) {
+    const RegisteredEndpoint &it = m_registry.at(slot);
+    const bool isLimited = m_registry.isLimited(slot, now);
+    if (isLimited
+        && !it.limitedCalls.isBelow(m_allowances.ownCalls(*it.announcedLimit, kAnnouncedLimitWindow, it.hash), now)) {
         return true;
     }
-    return m_roster.isCold(slot, now)
+    return m_registry.isCold(slot, now)
         && !it.coldCalls.isBelow(m_allowances.ownColdCalls(it.listing.pool, it.hash), now);
 }
 
--- a/src/libradishswitch/serving/endpointadmission.h
+++ b/src/libradishswitch/serving/endpointadmission.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "serving/callallowances.h"
-#include "serving/endpointroster.h"
+#include "serving/endpointregistry.h"
 #include "serving/placementquery.h"
 
 namespace RadishSwitch
@@ -13,7 +13,7 @@
     /// It has failed lately. For a call that finds nothing else.
     Ejected,
     /// Its entry has vanished lately. For a call that finds nothing else.
-    Doubtful,
+    Suspect,
     /// It has as many calls of this process as it may have.
     Full,
     /// This process's part of what it takes, cold or by its own word, is used up.
@@ -35,7 +35,7 @@
 class EndpointAdmission
 {
 public:
-    EndpointAdmission(const EndpointRoster &roster, const CallAllowances &allowances);
+    EndpointAdmission(const EndpointRegistry &registry, const CallAllowances &allowances);
 
     Admission admission(EndpointSlot slot, const PlacementQuery &query, Instant now) const;
 
@@ -51,7 +51,7 @@
 private:
     bool isPartUsedUp(EndpointSlot slot, Instant now) const;
 
-    const EndpointRoster &m_roster;
+    const EndpointRegistry &m_registry;
     const CallAllowances &m_allowances;
 };
 
--- a/src/libradishswitch/serving/endpointlisting.h
+++ b/src/libradishswitch/serving/endpointlisting.h
@@ -14,7 +14,7 @@
     EndpointId id;
     /// When this life began, in milliseconds of the endpoint's own clock. An endpoint that starts again keeps its id
     /// and has a later one. Zero where the platform does not tell.
-    std::int64_t bornAtMilliseconds = 0;
+    std::int64_t startedAtMilliseconds = 0;
     PoolId pool;
     /// "ip:port".
     std::string address;
--- a/src/libradishswitch/serving/endpointnotice.h
+++ b/src/libradishswitch/serving/endpointnotice.h
@@ -35,14 +35,14 @@
 };
 
 /// What of a notice is new here.
-struct NoticeNews {
+struct NoticeChanges {
     bool hasLimitChanged = false;
     /// It wants none for longer than was known.
     bool isBackoffLonger = false;
     /// It was not known to leave.
     bool isLeavingNow = false;
 
-    bool operator==(const NoticeNews &) const = default;
+    bool operator==(const NoticeChanges &) const = default;
 };
 
 }
--- a/src/libradishswitch/serving/endpointroster.h
+++ b/src/libradishswitch/serving/endpointregistry.h
@@ -21,11 +21,11 @@
 namespace RadishSwitch
 {
 
-/// Whether an endpoint of the roster may be sent new calls.
-enum class RosterStanding {
+/// Whether an endpoint of the registry may be sent new calls.
+enum class EndpointAvailability {
     Usable,
     /// Its entry has vanished lately, without a word that it leaves. Sent calls only when nothing else is usable.
-    Doubtful,
+    Suspect,
     Leaving,
     /// Operators keep new calls from its zone.
     Cordoned,
@@ -35,70 +35,70 @@
 };
 
 /// What an entry of the platform's list said of an endpoint.
-enum class ListedNews {
+enum class ListingOutcome {
     /// An endpoint that was not known, or news of the life that is.
     Current,
     /// The endpoint has crashed and started again: the life known until now is gone.
-    Reborn,
+    Restarted,
     /// A life that is over. The entry was ignored.
     Outdated,
 };
 
-struct EndpointRosterSettings {
+struct EndpointRegistrySettings {
     /// An endpoint whose entry vanished unannounced stays usable for so long. Entries lapse while the platform's store
     /// is away, and are back about two seconds after it; one that really leaves goes on serving for at least as long.
-    Duration vanishedGrace = std::chrono::milliseconds(1800);
-    /// The same when at least `lapseShare` of a pool vanishes within `lapseWindow`, no later than `lapseAfterOutage`
-    /// after the store was back: that is a lapse of the list. While the store is sound the same is a planned removal
-    /// of half a pool, whose endpoints serve no longer than they must.
-    Duration lapseGrace = std::chrono::milliseconds(3500);
-    Duration lapseAfterOutage = std::chrono::seconds(3);
-    double lapseShare = 0.5;
-    Duration lapseWindow = std::chrono::milliseconds(500);
+    Duration unlistedGrace = std::chrono::milliseconds(1800);
+    /// The same when at least `massExpiryShare` of a pool vanishes within `massExpiryWindow`, no later than
+    /// `massExpiryAfterOutage` after the store was back: that is a lapse of the list. While the store is sound the same
+    /// is a planned removal of half a pool, whose endpoints serve no longer than they must.
+    Duration massExpiryGrace = std::chrono::milliseconds(3500);
+    Duration massExpiryAfterOutage = std::chrono::seconds(3);
+    double massExpiryShare = 0.5;
+    Duration massExpiryWindow = std::chrono::milliseconds(500);
     /// Ids whose latest life is remembered after they are forgotten, so that late news does not bring it back. Some
     /// 100 bytes each; a day with a release of 400 endpoints each hour has fewer.
-    std::size_t rememberedLives = 10'000;
+    std::size_t rememberedIncarnations = 10'000;
     /// Regions by their availability zones.
     std::map<std::string, std::string> zoneRegions;
 };
 
 /// What a cold endpoint bears is told for a second. A call reaches it up to the time later that a new connection takes.
-inline constexpr Duration kColdCallSpan = std::chrono::milliseconds(1150);
+inline constexpr Duration kColdCallWindow = std::chrono::milliseconds(1150);
 
 /// Calls to an endpoint that names a limit are counted over this, and the time that a new connection takes: limits
 /// below one call a second are common.
-inline constexpr Duration kNamedLimitSpan = std::chrono::seconds(4);
-inline constexpr Duration kNamedLimitMargin = std::chrono::milliseconds(150);
+inline constexpr Duration kAnnouncedLimitWindow = std::chrono::seconds(4);
+inline constexpr Duration kAnnouncedLimitMargin = std::chrono::milliseconds(150);
 /// A limit of which nothing was heard for so long counts no longer: whoever gets no answers would not hear of its end.
-inline constexpr Duration kNamedLimitLasts = std::chrono::seconds(30);
+inline constexpr Duration kAnnouncedLimitTtl = std::chrono::seconds(30);
 
 /// An endpoint that is or lately was in the platform's list, and what this process has under way there.
-struct RosterEndpoint {
+struct RegisteredEndpoint {
     EndpointListing listing;
     /// Empty where the region of its zone is not known.
     std::string region;
     /// By which it takes part in rendezvous hashing.
     std::uint64_t hash = 0;
     /// The endpoint lives on in another slot.
-    bool isOfEarlierLife = false;
+    bool isEarlierIncarnation = false;
     /// A call meant for it was answered by another endpoint, which has its address.
-    bool isMissed = false;
+    bool hasLostAddress = false;
     /// Another endpoint has its address, by the newer entry or because this one was missed there.
     bool isReplaced = false;
     /// Set once its entry has vanished: until when it is doubtful rather than gone.
-    std::optional<Instant> doubtfulUntil;
-    Instant vanishedAt{};
+    std::optional<Instant> suspectUntil;
+    Instant unlistedAt{};
     /// Its zone is closed to new calls.
     bool isCordoned = false;
     /// Until when it is taken for cold; the earliest moment where it is warm.
     Instant coldUntil = Instant::min();
     /// Calls that this process has sent here while it was cold.
-    SlidingCount coldCalls{kColdCallSpan};
+    SlidingCount coldCalls{kColdCallWindow};
     /// Calls a second from all callers together that it says it takes; nothing while it names no limit. As of when.
-    std::optional<double> namedLimit;
-    Instant namedLimitAt = Instant::min();
+    std::optional<double> announcedLimit;
+    Instant announcedLimitAt = Instant::min();
     /// Calls that this process has sent here while it named a limit.
-    SlidingCount limitedCalls{kNamedLimitSpan + kNamedLimitMargin};
+    SlidingCount limitedCalls{kAnnouncedLimitWindow + kAnnouncedLimitMargin};
     /// While it is on, the endpoint has asked to be sent nothing by this process.
     EndpointBackoff backoff;
     /// After it has turned calls away without a time.
@@ -106,10 +106,10 @@
     /// Calls of this process that are under way here.
     int inFlight = 0;
     /// Calls that this process may have under way here. Falls when the endpoint refuses work, and grows back.
-    double limit = 1;
+    double inFlightLimit = 1;
     /// Up to this limit each call that the endpoint takes after a backoff makes room for one more, and beyond it for
     /// less.
-    double quickLimit = 0;
+    double fastGrowthLimit = 0;
     /// Prompt tokens sent here that the endpoint has yet to read before it answers.
     std::int64_t unreadTokens = 0;
     /// By how much first answers lately came later than expected, in seconds, and when that was noted.
@@ -121,14 +121,14 @@
 };
 
 /// The endpoints by the platform's list, each with the work that this process has there.
-class EndpointRoster
+class EndpointRegistry
 {
 public:
-    explicit EndpointRoster(EndpointRosterSettings settings = {});
+    explicit EndpointRegistry(EndpointRegistrySettings settings = {});
 
     /// Adds an endpoint or takes in what has changed about it. An endpoint that was born anew has a slot of its own:
     /// the load, the hints, the ejection and the leaving of its earlier life say nothing of it.
-    ListedNews list(const EndpointListing &listing, Instant now);
+    ListingOutcome list(const EndpointListing &listing, Instant now);
 
     /// The endpoint's entry was removed from the list.
     void unlist(const EndpointId &endpoint, Instant now);
@@ -140,7 +140,7 @@
     }
 
     /// Another endpoint answered at this one's address.
-    void noteMissed(EndpointSlot slot);
+    void noteWrongEndpoint(EndpointSlot slot);
 
     /// The endpoint itself has said that it leaves. Final for this life, whatever the list says. Gives whether that is
     /// news.
@@ -149,7 +149,7 @@
     /// The whole list, as read anew: what it does not hold was removed. Gives the endpoints that have started again.
     std::vector<EndpointId> replaceAll(const std::vector<EndpointListing> &listings, Instant now);
 
-    RosterStanding standing(EndpointSlot slot, Instant now) const;
+    EndpointAvailability availability(EndpointSlot slot, Instant now) const;
 
     /// Operators' orders, as they stand: these zones get no new calls, and all others may. Gives the endpoints whose
     /// zones are open again.
@@ -178,11 +178,11 @@
     std::size_t countLeaving(Instant now) const;
 
     /// The endpoint takes so many calls a second from now on, or names no limit any more.
-    void setNamedLimit(EndpointSlot slot, std::optional<double> callsPerSecond, Instant now);
+    void setAnnouncedLimit(EndpointSlot slot, std::optional<double> callsPerSecond, Instant now);
 
     bool isLimited(EndpointSlot slot, Instant now) const
     {
-        return at(slot).namedLimit && now - at(slot).namedLimitAt < kNamedLimitLasts;
+        return at(slot).announcedLimit && now - at(slot).announcedLimitAt < kAnnouncedLimitTtl;
     }
 
     std::size_t countLimited(Instant now) const;
@@ -192,12 +192,12 @@
     /// Slots of all endpoints of a pool that are not forgotten, in order.
     const std::vector<EndpointSlot> &pool(const PoolId &pool) const;
 
-    RosterEndpoint &at(EndpointSlot slot)
+    RegisteredEndpoint &at(EndpointSlot slot)
     {
         return *m_endpoints[slot];
     }
 
-    const RosterEndpoint &at(EndpointSlot slot) const
+    const RegisteredEndpoint &at(EndpointSlot slot) const
     {
         return *m_endpoints[slot];
     }
@@ -221,24 +221,24 @@
 private:
     std::string regionOf(const std::string &zone) const;
     EndpointSlot add(const EndpointListing &listing, Instant now);
-    std::vector<EndpointSlot> reviewCordons();
-    void endLife(EndpointSlot slot);
+    std::vector<EndpointSlot> updateCordons();
+    void endIncarnation(EndpointSlot slot);
     void remember(const EndpointListing &listing);
-    void takeAddress(EndpointSlot slot);
-    void leaveAddress(EndpointSlot slot);
-    void reviewAddress(const std::string &address);
-    bool isLapse(const PoolId &pool, Instant now) const;
-    void extendDoubt(const PoolId &pool, Instant now);
-
-    const EndpointRosterSettings m_settings;
-    std::vector<std::unique_ptr<RosterEndpoint>> m_endpoints;
+    void indexAddress(EndpointSlot slot);
+    void unindexAddress(EndpointSlot slot);
+    void updateReplaced(const std::string &address);
+    bool isMassExpiry(const PoolId &pool, Instant now) const;
+    void extendSuspicion(const PoolId &pool, Instant now);
+
+    const EndpointRegistrySettings m_settings;
+    std::vector<std::unique_ptr<RegisteredEndpoint>> m_endpoints;
     std::vector<EndpointSlot> m_freeSlots;
     absl::flat_hash_map<EndpointId, EndpointSlot> m_slots;
     absl::flat_hash_map<PoolId, std::vector<EndpointSlot>> m_pools;
     /// Endpoints by their addresses, those of earlier lives apart.
     absl::flat_hash_map<std::string, std::vector<EndpointSlot>> m_addresses;
     /// The latest life of each endpoint that was forgotten.
-    absl::flat_hash_map<EndpointId, EndpointListing> m_endedLives;
+    absl::flat_hash_map<EndpointId, EndpointListing> m_endedIncarnations;
     std::deque<EndpointId> m_endedInOrder;
     ZoneCordons m_cordons;
     std::optional<Instant> m_storeBackAt;
--- a/src/libradishswitch/serving/placementquery.h
+++ b/src/libradishswitch/serving/placementquery.h
@@ -40,7 +40,7 @@
     /// How long the first answer should take, by what is known here.
     Duration expectedFirstAnswer{};
     /// The life of the endpoint that is meant, as in its listing.
-    std::int64_t bornAtMilliseconds = 0;
+    std::int64_t startedAtMilliseconds = 0;
 
     bool operator==(const Placement &) const = default;
 };
--- a/src/libradishswitch/serving/placementsettings.h
+++ b/src/libradishswitch/serving/placementsettings.h
@@ -28,7 +28,7 @@
     /// The reading speed stays as set, and is not learnt from answers.
     bool hasFixedSpeed = false;
     /// Least number of calls that a process may have under way at an endpoint, however often that refuses.
-    double leastLimit = 1;
+    double minimumLimit = 1;
     EndpointBackoffSettings backoff;
     RefusalPauseSettings pause;
     EjectionSettings ejection{.consecutiveFailures = 3,
--- a/src/libradishswitch/serving/poisondetector.cpp
+++ b/src/libradishswitch/serving/poisondetector.cpp
@@ -46,13 +46,13 @@
     }
     std::vector<Crash> &crashes = it->second.crashes;
     const bool isKnown = std::ranges::any_of(crashes, [&run](const Crash &crash) {
-        return crash.life == run.life;
+        return crash.incarnation == run.incarnation;
     });
     if (isKnown) {
         return false;
     }
-    crashes.push_back({run.life, now, source, run.crashesBefore});
-    m_ranAt[run.life].push_back(run.request);
+    crashes.push_back({run.incarnation, now, source, run.crashesBefore});
+    m_ranAt[run.incarnation].push_back(run.request);
     return true;
 }
 
@@ -63,7 +63,7 @@
         return;
     }
     for (const Crash &crash : it->second.crashes) {
-        const auto ran = m_ranAt.find(crash.life);
+        const auto ran = m_ranAt.find(crash.incarnation);
         if (ran != m_ranAt.end() && std::erase(ran->second, request) > 0 && ran->second.empty()) {
             m_ranAt.erase(ran);
         }
@@ -143,7 +143,7 @@
     int ofMoment = 0;
     std::optional<Instant> moment;
     for (const Crash &crash : it->second.crashes) {
-        if (isExplained(crash.life, request)) {
+        if (isExplained(crash.incarnation, request)) {
             continue;
         }
         ++unexplained;
@@ -159,9 +159,9 @@
     return std::max(counted, std::min(inSequence, unexplained));
 }
 
-bool PoisonDetector::isExplained(const EndpointLife &life, const RequestFingerprint &request) const
+bool PoisonDetector::isExplained(const EndpointIncarnation &incarnation, const RequestFingerprint &request) const
 {
-    const auto ran = m_ranAt.find(life);
+    const auto ran = m_ranAt.find(incarnation);
     if (ran == m_ranAt.end()) {
         return false;
     }
--- a/src/libradishswitch/serving/poisondetector.h
+++ b/src/libradishswitch/serving/poisondetector.h
@@ -70,7 +70,7 @@
 
 private:
     struct Crash {
-        EndpointLife life;
+        EndpointIncarnation incarnation;
         Instant knownAt{};
         std::string source;
         /// As in the report.
@@ -91,7 +91,7 @@
 
     bool note(const std::string &source, const CrashedRun &run, Instant now);
     void clear(const RequestFingerprint &request);
-    bool isExplained(const EndpointLife &life, const RequestFingerprint &request) const;
+    bool isExplained(const EndpointIncarnation &incarnation, const RequestFingerprint &request) const;
     void eraseIfBlank(const RequestFingerprint &request);
     void forgetOldest();
 
@@ -100,7 +100,7 @@
     /// In the order in which they were first held for a cause.
     std::deque<RequestFingerprint> m_order;
     /// What ran at each endpoint that crashed.
-    absl::flat_hash_map<EndpointLife, std::vector<RequestFingerprint>> m_ranAt;
+    absl::flat_hash_map<EndpointIncarnation, std::vector<RequestFingerprint>> m_ranAt;
 };
 
 }
--- a/tests/core/serving/backedoffendpoint_test.cpp
+++ b/tests/core/serving/backedoffendpoint_test.cpp
@@ -45,7 +45,7 @@
             gates.push_back(std::make_unique<CallGate>(timers, random, name, "a"));
             gates.back()->allowances().setGateways(weights);
             for (int n = 0; n < kEndpoints; ++n) {
-                gates.back()->roster().list(listing(n), timers.now());
+                gates.back()->registry().list(listing(n), timers.now());
             }
         }
     }
@@ -64,7 +64,7 @@
         it.zone = "a";
         it.slots = 64;
         it.revision = 1;
-        it.bornAtMilliseconds = 1'000;
+        it.startedAtMilliseconds = 1'000;
         return it;
     }
 
@@ -260,9 +260,9 @@
     const Placement ofEarlier = placeAt(id(2));
     demand(id(2), std::chrono::seconds(60));
     EndpointListing reborn = listing(2);
-    reborn.bornAtMilliseconds = 2'000;
+    reborn.startedAtMilliseconds = 2'000;
     reborn.revision = 2;
-    gates.front()->roster().list(reborn, timers.now());
+    gates.front()->registry().list(reborn, timers.now());
     EXPECT_TRUE(isSentCalls(id(2)));
     EndpointNotice late;
     late.backoff = std::chrono::seconds(60);
--- a/tests/core/serving/backoffload_test.cpp
+++ b/tests/core/serving/backoffload_test.cpp
@@ -76,7 +76,7 @@
                 gates.push_back(std::make_unique<CallGate>(timers, random, name, "a", settings));
                 gates.back()->allowances().setGateways(weights);
                 for (int n = 0; n < load.endpoints; ++n) {
-                    gates.back()->roster().list(listing(n), timers.now());
+                    gates.back()->registry().list(listing(n), timers.now());
                 }
             }
         }
@@ -224,7 +224,7 @@
     {
         CallGateSettings settings;
         settings.placement.backoff.spreadShare = 0;
-        settings.placement.leastLimit = kSlots;
+        settings.placement.minimumLimit = kSlots;
         return settings;
     }
 
--- a/tests/core/serving/coldzone_test.cpp
+++ b/tests/core/serving/coldzone_test.cpp
@@ -38,7 +38,7 @@
             gates.back()->allowances().setGateways(weights);
             gates.back()->setClosedZones({});
             for (int engine = 0; engine < kEngines; ++engine) {
-                gates.back()->roster().list(listing(engine), timers.now());
+                gates.back()->registry().list(listing(engine), timers.now());
             }
         }
     }
@@ -210,7 +210,7 @@
             EndpointListing it = listing(engine);
             it.revision = 2;
             it.coldFor = std::chrono::seconds(3);
-            gate->roster().list(it, timers.now());
+            gate->registry().list(it, timers.now());
         }
     }
     arrivals.clear();
--- a/tests/core/serving/crashedendpoint_test.cpp
+++ b/tests/core/serving/crashedendpoint_test.cpp
@@ -21,7 +21,7 @@
             listing.address = "10.0.0." + std::to_string(n) + ":1";
             listing.zone = "a";
             listing.slots = 64;
-            gate.roster().list(listing, timers.now());
+            gate.registry().list(listing, timers.now());
         }
     }
 
--- a/tests/core/serving/crowdedservice_test.cpp
+++ b/tests/core/serving/crowdedservice_test.cpp
@@ -92,7 +92,7 @@
             listing.slots = 6;
             endpoints[listing.id.value()] = std::make_unique<QueueingEndpoint>(timers, random, slowness[n]);
             for (const auto &gate : gates) {
-                gate->roster().list(listing, timers.now());
+                gate->registry().list(listing, timers.now());
             }
         }
         Outcome outcome;
--- a/tests/core/serving/fleetload_test.cpp
+++ b/tests/core/serving/fleetload_test.cpp
@@ -77,9 +77,9 @@
             listing.address = "10.0.0." + std::to_string(n) + ":1";
             listing.zone = zone(n);
             listing.slots = 64;
-            gate.roster().list(listing, Instant());
+            gate.registry().list(listing, Instant());
         }
-        gate.noteRosterChanged();
+        gate.noteRegistryChanged();
     }
 
     static PlacementQuery queryOf(std::size_t kind, int number, SeededRandom &random)
--- a/tests/core/serving/limitedendpoint_test.cpp
+++ b/tests/core/serving/limitedendpoint_test.cpp
@@ -38,7 +38,7 @@
             gates.back()->allowances().setPools({pool});
             gates.back()->allowances().setGateways(weights);
             for (int n = 0; n < kEndpoints; ++n) {
-                gates.back()->roster().list(listing(n), timers.now());
+                gates.back()->registry().list(listing(n), timers.now());
             }
         }
     }
@@ -95,7 +95,7 @@
         if (gate.noteNotice(placement.id, notice).hasLimitChanged) {
             timers.after(kNews, [this, heard = limit] {
                 for (const auto &it : gates) {
-                    it->setNamedLimit(EndpointId("engine-0"), heard);
+                    it->setAnnouncedLimit(EndpointId("engine-0"), heard);
                 }
             });
         }
@@ -159,9 +159,9 @@
 TEST_P(LimitedEndpointTest, limitOfWhichNothingIsHeard_lapses)
 {
     for (const auto &gate : gates) {
-        gate->setNamedLimit(EndpointId("engine-0"), 0.0);
+        gate->setAnnouncedLimit(EndpointId("engine-0"), 0.0);
     }
-    timers.advance(kNamedLimitLasts);
+    timers.advance(kAnnouncedLimitTtl);
     play(kSpan, 400);
     EXPECT_GE(arrivals.size(), 80U);
 }
@@ -180,9 +180,9 @@
         });
     }
     timers.advance(Milliseconds(1));
-    gate.setNamedLimit(EndpointId("engine-0"), 1.5);
+    gate.setAnnouncedLimit(EndpointId("engine-0"), 1.5);
     EXPECT_FALSE(gate.noteNotice(before.id, EndpointNotice()).hasLimitChanged);
-    EXPECT_EQ(gate.roster().countLimited(timers.now()), 1U);
+    EXPECT_EQ(gate.registry().countLimited(timers.now()), 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleets, LimitedEndpointTest, testing::Values(1, 4, 29, 103, 300));
--- a/tests/core/serving/poisondetector_test.cpp
+++ b/tests/core/serving/poisondetector_test.cpp
@@ -20,7 +20,7 @@
         return RequestFingerprint::of("POST", "/a", "magnolia", body);
     }
 
-    static EndpointLife life(int n)
+    static EndpointIncarnation incarnation(int n)
     {
         return {EndpointId("engine-" + std::to_string(n)), 0};
     }
@@ -30,7 +30,7 @@
     {
         CrashReport report;
         for (const std::string &body : bodies) {
-            report.crashed.push_back({life(endpoint), request(body), 0});
+            report.crashed.push_back({incarnation(endpoint), request(body), 0});
         }
         return detector.take("report-" + std::to_string(++reports), report, now);
     }
@@ -115,7 +115,7 @@
     for (int n = 0; n < 3; ++n) {
         EXPECT_FALSE(detector.isBarred(request("poison")));
         const int before = detector.countedCrashes(request("poison"));
-        detector.take("report-" + std::to_string(n), {{{life(n), request("poison"), before}}, {}}, now);
+        detector.take("report-" + std::to_string(n), {{{incarnation(n), request("poison"), before}}, {}}, now);
         wait(std::chrono::milliseconds(60));
     }
     EXPECT_TRUE(detector.isBarred(request("poison")));
@@ -124,7 +124,7 @@
 // Guards against a report that accuses by a number it made up.
 TEST_F(PoisonDetectorTest, countBeforeThatNobodyElseKnows_doesNotBar)
 {
-    detector.take("report", {{{life(1), request("request"), 1'000'000}}, {}}, now);
+    detector.take("report", {{{incarnation(1), request("request"), 1'000'000}}, {}}, now);
     EXPECT_FALSE(detector.isBarred(request("request")));
 }
 
@@ -181,7 +181,7 @@
     settings.mostRequests = 100;
     PoisonDetector bounded(settings);
     for (int n = 0; n < 1000; ++n) {
-        bounded.take("report-" + std::to_string(n), {{{life(n), request(std::to_string(n)), 0}}, {}}, now);
+        bounded.take("report-" + std::to_string(n), {{{incarnation(n), request(std::to_string(n)), 0}}, {}}, now);
     }
     EXPECT_EQ(bounded.crashes(request("0")), 0U);
     EXPECT_EQ(bounded.crashes(request("999")), 1U);
@@ -239,7 +239,7 @@
         }
         CrashReport report;
         if (isCrashing) {
-            report.crashed.push_back({newLife(), it, detector.countedCrashes(it)});
+            report.crashed.push_back({newIncarnation(), it, detector.countedCrashes(it)});
         } else if (detector.crashes(it) >= 2) {
             report.answered.push_back(it);
         }
@@ -256,7 +256,7 @@
         for (int n = 0; n < copies; ++n) {
             const int gateway = static_cast<int>(random.below(kGateways));
             if (!detectors[gateway].isBarred(it)) {
-                reports.push_back({gateway, {{{newLife(), it, detectors[gateway].countedCrashes(it)}}, {}}});
+                reports.push_back({gateway, {{{newIncarnation(), it, detectors[gateway].countedCrashes(it)}}, {}}});
             }
         }
         for (const auto &[gateway, report] : reports) {
@@ -264,9 +264,9 @@
         }
     }
 
-    EndpointLife newLife()
+    EndpointIncarnation newIncarnation()
     {
-        return {EndpointId("engine-" + std::to_string(++m_lives)), 0};
+        return {EndpointId("engine-" + std::to_string(++m_incarnations)), 0};
     }
 
     void wait(Duration span)
@@ -282,7 +282,7 @@
 
 private:
     int m_reports = 0;
-    int m_lives = 0;
+    int m_incarnations = 0;
 };
 
 // Guards against repeats that go on because each gateway knows a part: at most three runs later than three seconds
--- a/tests/core/serving/refusingendpoint_test.cpp
+++ b/tests/core/serving/refusingendpoint_test.cpp
@@ -26,7 +26,7 @@
             it.zone = "a";
             it.slots = 64;
             it.revision = 1;
-            gate.roster().list(it, timers.now());
+            gate.registry().list(it, timers.now());
         }
     }
 
@@ -74,7 +74,7 @@
     play(std::chrono::seconds(2));
     int underWay = 0;
     for (int n = 0; n < kRefusing; ++n) {
-        underWay += gate.roster().at(*gate.roster().slotOf(EndpointId(std::to_string(n)))).inFlight > 0 ? 1 : 0;
+        underWay += gate.registry().at(*gate.registry().slotOf(EndpointId(std::to_string(n)))).inFlight > 0 ? 1 : 0;
     }
     EXPECT_GE(underWay, kRefusing - 1);
 }
--- a/tests/core/serving/regionbound_test.cpp
+++ b/tests/core/serving/regionbound_test.cpp
@@ -57,7 +57,7 @@
     static CallGateSettings settings()
     {
         CallGateSettings settings;
-        settings.roster.zoneRegions = {{"north", "east"}, {"south", "west"}};
+        settings.registry.zoneRegions = {{"north", "east"}, {"south", "west"}};
         return settings;
     }
 
@@ -69,7 +69,7 @@
         listing.address = id + ":1";
         listing.zone = zone;
         listing.slots = slots;
-        gate.roster().list(listing, timers.now());
+        gate.registry().list(listing, timers.now());
     }
 
     /// Where a call of that bound goes; nothing while it waits; "refused" if it is.
--- a/tests/core/serving/servingload_test.cpp
+++ b/tests/core/serving/servingload_test.cpp
@@ -30,9 +30,9 @@
             listing.address = "10.0.0." + std::to_string(n) + ":1";
             listing.zone = "a";
             listing.slots = slots;
-            gate.roster().list(listing, Instant());
+            gate.registry().list(listing, Instant());
         }
-        gate.noteRosterChanged();
+        gate.noteRegistryChanged();
     }
 
     PlacementQuery query(std::vector<PromptPart> parts, const std::string &organisation = "o")
@@ -280,7 +280,7 @@
 TEST_F(ServingLoadTest, endpointThatRefuses_getsHalfAsMuchAndGrowsBack)
 {
     list(1, 16);
-    const EndpointSlot slot = *gate.roster().slotOf(ReadingEngines::id(0));
+    const EndpointSlot slot = *gate.registry().slotOf(ReadingEngines::id(0));
     const auto run = [this](RunEnd end, int count) {
         std::vector<PlacementId> calls;
         for (int n = 0; n < count; ++n) {
@@ -298,11 +298,11 @@
         }
     };
     run(RunEnd::Refused, 1);
-    EXPECT_EQ(gate.roster().at(slot).limit, 8);
+    EXPECT_EQ(gate.registry().at(slot).inFlightLimit, 8);
     timers.advance(Milliseconds(50));
     for (int n = 0; n < 400; ++n) {
         run(RunEnd::Ok, 20);
         timers.advance(Milliseconds(300));
     }
-    EXPECT_EQ(gate.roster().at(slot).limit, 16);
+    EXPECT_EQ(gate.registry().at(slot).inFlightLimit, 16);
 }
--- a/tests/radishswitch-gateway/gatewayfixture.h
+++ b/tests/radishswitch-gateway/gatewayfixture.h
@@ -86,7 +86,7 @@
         }
     }
 
-    static Json endpointEntry(std::uint16_t port, const std::string &state, std::int64_t bornAtMilliseconds = 1'000)
+    static Json endpointEntry(std::uint16_t port, const std::string &state, std::int64_t startedAtMilliseconds = 1'000)
     {
         return {{"service", "llm"},
                 {"address", "127.0.0.1:" + std::to_string(port)},
@@ -96,7 +96,7 @@
                 {"state", state},
                 {"sequence", 0},
                 {"cold-remaining-ms", 0},
-                {"born", bornAtMilliseconds}};
+                {"born", startedAtMilliseconds}};
     }
 
     void putEndpoint(const std::string &id, std::uint16_t port, const std::string &state)
--- a/tests/radishswitch-gateway/newsofgateways_test.cpp
+++ b/tests/radishswitch-gateway/newsofgateways_test.cpp
@@ -27,7 +27,7 @@
             EndpointListing listing;
             listing.id = EndpointId("engine");
             listing.pool = PoolId("llm");
-            gate.roster().list(listing, timers.now());
+            gate.registry().list(listing, timers.now());
             news.add(kCrashKeys, reports);
             news.add(kLimitKeys, limits);
             follower.start();
@@ -35,7 +35,7 @@
 
         bool isLimited(Instant now) const
         {
-            return gate.roster().countLimited(now) == 1;
+            return gate.registry().countLimited(now) == 1;
         }
 
         PoisonDetector detector;
--- a/tests/radishswitch-gateway/platformadapter_test.cpp
+++ b/tests/radishswitch-gateway/platformadapter_test.cpp
@@ -136,7 +136,7 @@
     EXPECT_EQ(listing->pool.value(), "x");
     EXPECT_EQ(listing->address, "10.0.0.1:80");
     EXPECT_EQ(listing->slots, 64);
-    EXPECT_EQ(listing->bornAtMilliseconds, 17);
+    EXPECT_EQ(listing->startedAtMilliseconds, 17);
     EXPECT_TRUE(listing->isLeaving);
 }
 
