--- a/benchmarks/placement.cpp
+++ b/benchmarks/placement.cpp
@@ -106,7 +106,8 @@
     const RegisteredEndpoint &endpoint = gateway.gate.registry().at(0);
     for (auto _ : state) {
         benchmark::DoNotOptimize(endpoint.coldCalls.isBelow(
-            gateway.gate.allowances().ownColdCalls(endpoint.listing.pool, endpoint.hash), gateway.timers.now()));
+            gateway.gate.allowances().ownColdCallsPerSecond(endpoint.listing.pool, endpoint.hash),
+            gateway.timers.now()));
     }
 }
 
--- a/src/gateway/call.cpp
+++ b/src/gateway/call.cpp
@@ -86,8 +86,8 @@
         return makeFailure(FailureCode::NoEndpoint, "the route leads to no pool", kNotReadyRetryAfter);
     }
     Duration longest = m_route->timeout;
-    if (m_request.patience) {
-        longest = std::min(longest, *m_request.patience - m_services.times.travel);
+    if (m_request.callerTimeout) {
+        longest = std::min(longest, *m_request.callerTimeout - m_services.times.travel);
     }
     m_deadline = m_startedAt + longest;
     if (m_route->isStreamed) {
@@ -152,8 +152,8 @@
     const auto patience =
         std::chrono::duration<double, std::micro>(m_route->targetLatency) * m_services.times.patienceTargets;
     query.deadline = std::min(m_deadline, m_startedAt + std::chrono::duration_cast<Duration>(patience));
-    query.regions = RegionBound(m_route->allowedRegions,
-                                m_organisation ? m_organisation->allowedRegions : std::vector<std::string>());
+    query.regions = AllowedRegions(m_route->allowedRegions,
+                                   m_organisation ? m_organisation->allowedRegions : std::vector<std::string>());
     if (!m_route->isStreamed) {
         const auto late =
             std::chrono::duration<double, std::micro>(m_route->targetLatency) * m_services.times.lateShare;
@@ -203,7 +203,7 @@
         }
         m_further = m_successor ? FurtherAttempt::Granted : askForAnother(*end);
         if (m_further != FurtherAttempt::Granted) {
-            co_return failureOfAttempts(m_history, *end, m_services.gate.untilBackoffEnds(placementQuery()));
+            co_return failureAfterAttempts(m_history, *end, m_services.gate.untilBackoffEnds(placementQuery()));
         }
     }
     if (m_successor) {
@@ -224,7 +224,7 @@
     if (!placement.ok()) {
         giveRetryBack();
         m_further = m_history.sent > 0 ? std::optional(FurtherAttempt::NoEndpoint) : std::nullopt;
-        co_return m_history.mayHaveRun ? failureOfAttempts(m_history, AttemptEnd::Broken) : placement.status();
+        co_return m_history.mayHaveRun ? failureAfterAttempts(m_history, AttemptEnd::Broken) : placement.status();
     }
     m_attempt = Attempt();
     m_attempt.placement = *placement;
--- a/src/gateway/crashreports.cpp
+++ b/src/gateway/crashreports.cpp
@@ -87,7 +87,7 @@
     }
     m_pending.crashed.insert(m_pending.crashed.end(), part.crashed.begin(), part.crashed.end());
     m_pending.answered.insert(m_pending.answered.end(), part.answered.begin(), part.answered.end());
-    noteBarred(m_detector.take(m_pendingKey, part, m_timers.now()));
+    noteBarred(m_detector.addReport(m_pendingKey, part, m_timers.now()));
 }
 
 void CrashReports::flush()
@@ -165,7 +165,7 @@
                    {field("key", object.key), field("error", std::string(report.status().message()))});
         return;
     }
-    noteBarred(m_detector.take(object.key, *report, m_timers.now()));
+    noteBarred(m_detector.addReport(object.key, *report, m_timers.now()));
 }
 
 void CrashReports::forget(const std::string &key)
--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -21,7 +21,7 @@
 
 void addPlacementSettings(SettingsParser &parser, PlacementSettings &settings)
 {
-    parser.addNumber("read-tokens-per-second", settings.readTokensPerSecond, kLeastReadingSpeed, kMostReadingSpeed,
+    parser.addNumber("read-tokens-per-second", settings.prefillTokensPerSecond, kLeastReadingSpeed, kMostReadingSpeed,
                      "speed at which an engine reads prompts, until its answers have told it");
     parser.addNumber("reread-factor", settings.rereadFactor, 0, kMostRereadFactor,
                      "what a token that another engine has read already costs beyond its time");
--- a/src/libradishswitch/base/tokenbucket.cpp
+++ b/src/libradishswitch/base/tokenbucket.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kMicrosecondsPerSecond = 1e6;
 // Sums of fractions come out a little low; a cost that is short by less than this is taken.
-constexpr double kTolerance = 1e-6;
+constexpr double kCostToleranceSeconds = 1e-6;
 
 }
 
@@ -26,7 +26,7 @@
 Duration TokenBucket::waitFor(double cost, Instant now) const
 {
     const double missing = std::min(cost, m_burst) - levelAt(now);
-    if (missing <= kTolerance) {
+    if (missing <= kCostToleranceSeconds) {
         return Duration::zero();
     }
     if (m_rate <= 0) {
--- a/src/libradishswitch/serving/regionbound.cpp
+++ b/src/libradishswitch/serving/allowedregions.cpp
@@ -1,11 +1,11 @@
-#include "serving/regionbound.h"
+#include "serving/allowedregions.h"
 
 #include <algorithm>
 
 namespace RadishSwitch
 {
 
-RegionBound::RegionBound(const std::vector<std::string> &ofRoute, const std::vector<std::string> &ofOrganisation)
+AllowedRegions::AllowedRegions(const std::vector<std::string> &ofRoute, const std::vector<std::string> &ofOrganisation)
 {
     if (ofRoute.empty() && ofOrganisation.empty()) {
         return;
@@ -18,7 +18,7 @@
     }
 }
 
-bool RegionBound::allows(const std::string &region) const
+bool AllowedRegions::allows(const std::string &region) const
 {
     return !m_regions || std::ranges::find(*m_regions, region) != m_regions->end();
 }
--- a/src/libradishswitch/serving/regionbound.h
+++ b/src/libradishswitch/serving/allowedregions.h
@@ -11,25 +11,25 @@
 ///
 /// Some prompts must not leave a region, by an organisation's contract or a route's. A call that is bound is sent to no
 /// endpoint elsewhere, whatever that costs it; nor to one whose region is not known.
-class RegionBound
+class AllowedRegions
 {
 public:
     /// No bound.
-    RegionBound() = default;
+    AllowedRegions() = default;
 
     /// The bounds of a route and of an organisation, each with no region where it has none. Where both have one, both
     /// hold; together they may leave no region at all.
-    RegionBound(const std::vector<std::string> &ofRoute, const std::vector<std::string> &ofOrganisation);
+    AllowedRegions(const std::vector<std::string> &ofRoute, const std::vector<std::string> &ofOrganisation);
 
     /// `region` is empty where it is not known.
     bool allows(const std::string &region) const;
 
-    bool isBound() const
+    bool isRestricted() const
     {
         return m_regions.has_value();
     }
 
-    bool operator==(const RegionBound &) const = default;
+    bool operator==(const AllowedRegions &) const = default;
 
 private:
     std::optional<std::vector<std::string>> m_regions;
--- a/src/libradishswitch/serving/attemptrules.cpp
+++ b/src/libradishswitch/serving/attemptrules.cpp
@@ -9,7 +9,7 @@
 {
 
 /// Connections that fail at once cost a caller little; an endpoint that takes none costs a connect timeout each.
-constexpr int kMostNotSent = 3;
+constexpr int kMaxUnsentAttempts = 3;
 /// A refused caller comes back when a full endpoint has ended a few runs.
 constexpr std::chrono::milliseconds kRetryAfterRefusal{250};
 
@@ -59,7 +59,7 @@
     if (mayHaveRun && history.repetition == Repetition::Never) {
         return FurtherAttempt::NotIdempotent;
     }
-    const bool isTried = !isRetry(end) && history.notSent >= kMostNotSent;
+    const bool isTried = !isRetry(end) && history.notSent >= kMaxUnsentAttempts;
     return isTried || history.sent >= history.maximumAttempts ? FurtherAttempt::AttemptsUsed : FurtherAttempt::Granted;
 }
 
@@ -68,8 +68,8 @@
     return end != AttemptEnd::NotSent && end != AttemptEnd::Withdrawn;
 }
 
-absl::Status failureOfAttempts(const AttemptHistory &history, AttemptEnd end,
-                               std::optional<std::chrono::milliseconds> untilBackoffEnds)
+absl::Status failureAfterAttempts(const AttemptHistory &history, AttemptEnd end,
+                                  std::optional<std::chrono::milliseconds> untilBackoffEnds)
 {
     if (!history.mayHaveRun) {
         return makeFailure(FailureCode::Overloaded, "no endpoint took the call",
--- a/src/libradishswitch/serving/attemptrules.h
+++ b/src/libradishswitch/serving/attemptrules.h
@@ -66,7 +66,7 @@
 
 /// What the caller is told when no further attempt is made. "Not run" only if no attempt may have run.
 /// `untilBackoffEnds` is how long until the first endpoint takes calls again, where all have asked for backoff.
-absl::Status failureOfAttempts(const AttemptHistory &history, AttemptEnd end,
-                               std::optional<std::chrono::milliseconds> untilBackoffEnds = std::nullopt);
+absl::Status failureAfterAttempts(const AttemptHistory &history, AttemptEnd end,
+                                  std::optional<std::chrono::milliseconds> untilBackoffEnds = std::nullopt);
 
 }
--- a/src/libradishswitch/serving/callallowances.cpp
+++ b/src/libradishswitch/serving/callallowances.cpp
@@ -13,9 +13,9 @@
 {
 
 /// Endpoints come under new names and name other limits all day.
-constexpr std::size_t kMostShares = 10'000;
+constexpr std::size_t kMaxCachedShares = 10'000;
 /// More than any endpoint takes; what is named beyond it can't be counted.
-constexpr double kMostCalls = 1e9;
+constexpr double kMaxCalls = 1e9;
 
 }
 
@@ -55,41 +55,41 @@
     }
 }
 
-Duration CallAllowances::usualColdSpan(const PoolId &pool) const
+Duration CallAllowances::coldStartDuration(const PoolId &pool) const
 {
     const auto it = m_pools.find(pool);
     return it == m_pools.end() ? Duration::zero() : it->second.span;
 }
 
-std::size_t CallAllowances::ownColdCalls(const PoolId &pool, std::uint64_t endpointHash) const
+std::size_t CallAllowances::ownColdCallsPerSecond(const PoolId &pool, std::uint64_t endpointHash) const
 {
     const auto it = m_pools.find(pool);
     if (it == m_pools.end() || it->second.callsPerSecond <= 0) {
         return kUnbounded;
     }
-    return ownPart(it->second.callsPerSecond * m_settings.overshoot, endpointHash);
+    return ownShare(it->second.callsPerSecond * m_settings.overshoot, endpointHash);
 }
 
 std::size_t CallAllowances::ownCalls(double callsPerSecond, Duration span, std::uint64_t endpointHash) const
 {
-    return ownPart(callsPerSecond * std::chrono::duration<double>(span).count(), endpointHash);
+    return ownShare(callsPerSecond * std::chrono::duration<double>(span).count(), endpointHash);
 }
 
-std::size_t CallAllowances::ownPart(double calls, std::uint64_t endpointHash) const
+std::size_t CallAllowances::ownShare(double calls, std::uint64_t endpointHash) const
 {
     // One that bears less than a call must still get some, or it would never be of use.
-    const double all = std::floor(std::clamp(calls, 1.0, kMostCalls));
-    if (m_shares.size() >= kMostShares) {
+    const double all = std::floor(std::clamp(calls, 1.0, kMaxCalls));
+    if (m_shares.size() >= kMaxCachedShares) {
         m_shares.clear();
     }
     const auto [share, isNew] = m_shares.try_emplace(std::pair(all, endpointHash));
     if (isNew) {
-        share->second = shareOf(all, endpointHash);
+        share->second = computeOwnShare(all, endpointHash);
     }
     return share->second;
 }
 
-std::size_t CallAllowances::shareOf(double all, std::uint64_t endpointHash) const
+std::size_t CallAllowances::computeOwnShare(double all, std::uint64_t endpointHash) const
 {
     const auto wholeCalls = [all](const Gateway &gateway) {
         return std::floor(all * gateway.share);
--- a/src/libradishswitch/serving/callallowances.h
+++ b/src/libradishswitch/serving/callallowances.h
@@ -49,11 +49,11 @@
     }
 
     /// How long an endpoint stays cold that has just started; zero where the pool's endpoints are never cold.
-    Duration usualColdSpan(const PoolId &pool) const;
+    Duration coldStartDuration(const PoolId &pool) const;
 
     /// Calls a second that this process may send to an endpoint, by its hash, while it is cold; kUnbounded where the
     /// pool has no bound.
-    std::size_t ownColdCalls(const PoolId &pool, std::uint64_t endpointHash) const;
+    std::size_t ownColdCallsPerSecond(const PoolId &pool, std::uint64_t endpointHash) const;
 
     /// Calls within a span that this process may send to an endpoint, by its hash, where all together may send it
     /// `callsPerSecond`.
@@ -65,8 +65,8 @@
         Duration span{};
     };
 
-    std::size_t ownPart(double calls, std::uint64_t endpointHash) const;
-    std::size_t shareOf(double all, std::uint64_t endpointHash) const;
+    std::size_t ownShare(double calls, std::uint64_t endpointHash) const;
+    std::size_t computeOwnShare(double all, std::uint64_t endpointHash) const;
     struct Gateway {
         std::uint64_t hash = 0;
         /// Of the weights of all.
--- a/src/libradishswitch/serving/callgate.cpp
+++ b/src/libradishswitch/serving/callgate.cpp
@@ -27,7 +27,7 @@
 
 void CallGate::setClosedZones(const std::vector<std::string> &zones)
 {
-    takeForCold(m_registry.setClosedZones(zones));
+    markCold(m_registry.setClosedZones(zones));
     noteRegistryChanged();
 }
 
@@ -39,24 +39,24 @@
 
 void CallGate::openZone(const std::string &zone)
 {
-    takeForCold(m_registry.openZone(zone));
+    markCold(m_registry.openZone(zone));
     noteRegistryChanged();
 }
 
 // Endpoints of a zone that was closed may have become cold since, and their entries tell it seconds later. By then all
 // gateways would have sent them what they did not send for as long.
-void CallGate::takeForCold(const std::vector<EndpointSlot> &slots)
+void CallGate::markCold(const std::vector<EndpointSlot> &slots)
 {
     for (const EndpointSlot slot : slots) {
-        m_registry.extendCold(slot, m_timers.now() + m_allowances.usualColdSpan(m_registry.at(slot).listing.pool));
+        m_registry.extendCold(slot, m_timers.now() + m_allowances.coldStartDuration(m_registry.at(slot).listing.pool));
     }
 }
 
 // After a loss of power one gateway may have half of a zone's callers, all endpoints are cold, and the others have
 // their parts to spare.
-absl::Status CallGate::refusalOf(const PlacementQuery &query, const absl::Status &status) const
+absl::Status CallGate::refusalFor(const PlacementQuery &query, const absl::Status &status) const
 {
-    if (!m_placement.isHeldByAllowances(query, m_timers.now())) {
+    if (!m_placement.isLimitedByAllowances(query, m_timers.now())) {
         return status;
     }
     return makeFailure(FailureCode::Overloaded, "endpoints that bear few calls get no more from this gateway",
@@ -65,22 +65,22 @@
 
 void CallGate::place(const PlacementQuery &query, Callback callback)
 {
-    if (isTurnedAway(query)) {
+    if (shouldShed(query)) {
         return callback(makeFailure(FailureCode::Overloaded,
                                     "the endpoints of pool " + query.pool.value() + " answer late already",
-                                    m_settings.pressedRetryAfter));
+                                    m_settings.overloadRetryAfter));
     }
     const auto queue = m_queues.find(query.pool);
     const bool isQueueEmpty = queue == m_queues.end() || queue->second.size() == 0;
     if (isQueueEmpty && tryPlace(query, callback)) {
         return;
     }
-    if (!m_placement.hasUsable(query, m_timers.now())) {
+    if (!m_placement.hasOpenEndpoint(query, m_timers.now())) {
         return callback(makeFailure(FailureCode::NoEndpoint,
                                     "no endpoint of pool " + query.pool.value() + " takes calls",
                                     m_settings.noEndpointRetryAfter));
     }
-    if (const std::optional<absl::Status> status = whileAllBackedOff(query)) {
+    if (const std::optional<absl::Status> status = refusalIfAllBackedOff(query)) {
         return callback(*status);
     }
     // A further attempt has used up time and an endpoint's work already; it doesn't take a place from those that wait.
@@ -92,7 +92,7 @@
     wait(query, std::move(callback));
 }
 
-bool CallGate::isTurnedAway(const PlacementQuery &query)
+bool CallGate::shouldShed(const PlacementQuery &query)
 {
     if (query.lateAfter == Duration::zero() || m_settings.ignoresPressure) {
         return false;
@@ -115,13 +115,13 @@
                               listing.zone,
                               m_placement.expectedFirstAnswer(*slot, query, now),
                               listing.startedAtMilliseconds};
-    const std::int64_t unread = m_placement.noteSent(*slot, query, now);
-    m_placed.insert_or_assign(placement.id, Placed{*slot, query.pool, unread, now, query.lateAfter});
+    const std::int64_t prefillTokens = m_placement.noteSent(*slot, query, now);
+    m_placed.insert_or_assign(placement.id, PlacedCall{*slot, query.pool, prefillTokens, now, query.lateAfter});
     callback(placement);
     return true;
 }
 
-QueuedRequest CallGate::queued(const PlacementQuery &query)
+QueuedRequest CallGate::queuedRequest(const PlacementQuery &query)
 {
     QueuedRequest request;
     request.request = query.call;
@@ -137,13 +137,13 @@
 {
     const Instant now = m_timers.now();
     FairQueue &queue = m_queues.try_emplace(query.pool, m_settings.queue).first->second;
-    const absl::Status status = queue.enqueue(queued(query), now);
+    const absl::Status status = queue.enqueue(queuedRequest(query), now);
     if (!status.ok()) {
-        return callback(refusalOf(query, status));
+        return callback(refusalFor(query, status));
     }
-    m_waiting.insert_or_assign(query.call, Waiting{query, std::move(callback)});
+    m_waiting.insert_or_assign(query.call, WaitingCall{query, std::move(callback)});
     refuse(queue.expire(now));
-    keepTimer();
+    scheduleExpiry();
 }
 
 void CallGate::cancel(const RequestId &call, const PoolId &pool)
@@ -164,12 +164,12 @@
     if (it == m_placed.end() || it->second.isAnswered) {
         return;
     }
-    Placed &placed = it->second;
+    PlacedCall &placed = it->second;
     placed.isAnswered = true;
     const Instant now = m_timers.now();
     m_placement.noteTaken(placed.slot, placed.at);
-    m_placement.noteRead(placed.slot, placed.unread);
-    m_placement.noteFirstAnswer(placed.slot, placed.unread, now - placed.at, now);
+    m_placement.notePrefilled(placed.slot, placed.prefillTokens);
+    m_placement.noteFirstAnswer(placed.slot, placed.prefillTokens, now - placed.at, now);
 }
 
 void CallGate::noteSilent(PlacementId placement)
@@ -198,13 +198,13 @@
         news.isBackoffLonger = m_placement.noteBackoff(slot, *notice.backoff, m_allowances.gateways(), m_timers.now());
     }
     if (news.isBackoffLonger) {
-        refuseWhileAllBackedOff(it->second.pool);
+        refuseWaitingIfAllBackedOff(it->second.pool);
     }
     return news;
 }
 
 // Nothing that waits for these endpoints can be in time, and its callers can do better than wait.
-void CallGate::refuseWhileAllBackedOff(PoolId pool)
+void CallGate::refuseWaitingIfAllBackedOff(PoolId pool)
 {
     const auto queue = m_queues.find(pool);
     if (queue == m_queues.end()) {
@@ -212,19 +212,19 @@
     }
     std::vector<RequestId> refused;
     for (const auto &[call, waiting] : m_waiting) {
-        if (waiting.query.pool == pool && whileAllBackedOff(waiting.query)) {
+        if (waiting.query.pool == pool && refusalIfAllBackedOff(waiting.query)) {
             refused.push_back(call);
         }
     }
     for (const RequestId &call : refused) {
         queue->second.remove(call, m_timers.now());
         if (auto node = m_waiting.extract(call); !node.empty()) {
-            node.mapped().callback(*whileAllBackedOff(node.mapped().query));
+            node.mapped().callback(*refusalIfAllBackedOff(node.mapped().query));
         }
     }
 }
 
-std::optional<absl::Status> CallGate::whileAllBackedOff(const PlacementQuery &query) const
+std::optional<absl::Status> CallGate::refusalIfAllBackedOff(const PlacementQuery &query) const
 {
     const std::optional<std::chrono::milliseconds> wait = untilBackoffEnds(query);
     if (!wait) {
@@ -246,7 +246,7 @@
     return it != m_placed.end() && m_admission.mayStillBeSent(it->second.slot, m_timers.now());
 }
 
-bool CallGate::noteAnnouncedLimit(const Placed &placed, std::optional<double> callsPerSecond)
+bool CallGate::noteAnnouncedLimit(const PlacedCall &placed, std::optional<double> callsPerSecond)
 {
     const RegisteredEndpoint &endpoint = m_registry.at(placed.slot);
     if (!callsPerSecond && (!endpoint.announcedLimit || placed.at < endpoint.announcedLimitAt)) {
@@ -283,10 +283,10 @@
     if (it == m_placed.end()) {
         return;
     }
-    const Placed placed = it->second;
+    const PlacedCall placed = it->second;
     m_placed.erase(it);
     if (!placed.isAnswered) {
-        m_placement.noteRead(placed.slot, placed.unread);
+        m_placement.notePrefilled(placed.slot, placed.prefillTokens);
     }
     if (end == RunEnd::Ok) {
         m_placement.noteTaken(placed.slot, placed.at);
@@ -299,7 +299,7 @@
 }
 
 // A refusal by an endpoint says that its queue is full. What failed, or was left, says nothing of its load.
-void CallGate::notePressure(const Placed &placed, RunEnd end)
+void CallGate::notePressure(const PlacedCall &placed, RunEnd end)
 {
     if (placed.lateAfter == Duration::zero() || end == RunEnd::Failed || end == RunEnd::Cancelled) {
         return;
@@ -316,10 +316,10 @@
     if (queue == m_queues.end()) {
         return;
     }
-    constexpr std::size_t kMostMisfits = 4;
+    constexpr std::size_t kMaxSkipped = 4;
     const Instant now = m_timers.now();
-    std::vector<Waiting> misfits;
-    while (queue->second.size() > 0 && misfits.size() < kMostMisfits) {
+    std::vector<WaitingCall> skipped;
+    while (queue->second.size() > 0 && skipped.size() < kMaxSkipped) {
         PlacementQuery probe;
         probe.pool = pool;
         if (!m_placement.choose(probe, now)) {
@@ -333,13 +333,13 @@
         if (node.empty()) {
             continue;
         }
-        Waiting waiting = std::move(node.mapped());
+        WaitingCall waiting = std::move(node.mapped());
         if (!tryPlace(waiting.query, waiting.callback)) {
-            misfits.push_back(std::move(waiting));
+            skipped.push_back(std::move(waiting));
         }
     }
-    for (Waiting &misfit : misfits) {
-        wait(misfit.query, std::move(misfit.callback));
+    for (WaitingCall &skippedCall : skipped) {
+        wait(skippedCall.query, std::move(skippedCall.callback));
     }
     refuse(queue->second.expire(now));
 }
@@ -361,7 +361,7 @@
         // An endpoint may have become usable by time alone, when its ejection was over.
         admitWaiting(pool);
     }
-    keepTimer();
+    scheduleExpiry();
 }
 
 void CallGate::refuse(const std::vector<QueueRefusal> &refusals)
@@ -369,12 +369,12 @@
     for (const QueueRefusal &refusal : refusals) {
         auto node = m_waiting.extract(refusal.request);
         if (!node.empty()) {
-            node.mapped().callback(refusalOf(node.mapped().query, refusal.status));
+            node.mapped().callback(refusalFor(node.mapped().query, refusal.status));
         }
     }
 }
 
-void CallGate::keepTimer()
+void CallGate::scheduleExpiry()
 {
     if (m_timer == 0 && !m_waiting.empty()) {
         m_timer = m_timers.after(m_settings.expiryInterval, [this] {
--- a/src/libradishswitch/serving/callgate.h
+++ b/src/libradishswitch/serving/callgate.h
@@ -24,7 +24,7 @@
     /// another gateway, which has its own.
     std::chrono::milliseconds coldRetryAfter{30};
     /// When to come back where all endpoints answer late: their queues have drained by then.
-    std::chrono::milliseconds pressedRetryAfter{250};
+    std::chrono::milliseconds overloadRetryAfter{250};
     /// Calls are sent also where endpoints answer late already.
     bool ignoresPressure = false;
     PlacementSettings placement;
@@ -117,15 +117,15 @@
     }
 
 private:
-    struct Waiting {
+    struct WaitingCall {
         PlacementQuery query;
         Callback callback;
     };
 
-    struct Placed {
+    struct PlacedCall {
         EndpointSlot slot = 0;
         PoolId pool;
-        std::int64_t unread = 0;
+        std::int64_t prefillTokens = 0;
         Instant at{};
         /// As in the query.
         Duration lateAfter{};
@@ -133,20 +133,20 @@
         bool isSilent = false;
     };
 
-    absl::Status refusalOf(const PlacementQuery &query, const absl::Status &status) const;
-    bool noteAnnouncedLimit(const Placed &placed, std::optional<double> callsPerSecond);
-    void refuseWhileAllBackedOff(PoolId pool);
-    std::optional<absl::Status> whileAllBackedOff(const PlacementQuery &query) const;
-    void takeForCold(const std::vector<EndpointSlot> &slots);
-    bool isTurnedAway(const PlacementQuery &query);
-    void notePressure(const Placed &placed, RunEnd end);
+    absl::Status refusalFor(const PlacementQuery &query, const absl::Status &status) const;
+    bool noteAnnouncedLimit(const PlacedCall &placed, std::optional<double> callsPerSecond);
+    void refuseWaitingIfAllBackedOff(PoolId pool);
+    std::optional<absl::Status> refusalIfAllBackedOff(const PlacementQuery &query) const;
+    void markCold(const std::vector<EndpointSlot> &slots);
+    bool shouldShed(const PlacementQuery &query);
+    void notePressure(const PlacedCall &placed, RunEnd end);
     bool tryPlace(const PlacementQuery &query, Callback &callback);
     void wait(const PlacementQuery &query, Callback callback);
     void admitWaiting(const PoolId &pool);
     void expire();
     void refuse(const std::vector<QueueRefusal> &refusals);
-    void keepTimer();
-    static QueuedRequest queued(const PlacementQuery &query);
+    void scheduleExpiry();
+    static QueuedRequest queuedRequest(const PlacementQuery &query);
 
     TimerService &m_timers;
     RandomSource &m_random;
@@ -156,8 +156,8 @@
     EndpointAdmission m_admission;
     CallPlacement m_placement;
     std::map<PoolId, FairQueue> m_queues;
-    absl::flat_hash_map<RequestId, Waiting> m_waiting;
-    absl::flat_hash_map<PlacementId, Placed> m_placed;
+    absl::flat_hash_map<RequestId, WaitingCall> m_waiting;
+    absl::flat_hash_map<PlacementId, PlacedCall> m_placed;
     PlacementId m_lastPlacement = 0;
     TimerId m_timer = 0;
 };
--- a/src/libradishswitch/serving/callplacement.cpp
+++ b/src/libradishswitch/serving/callplacement.cpp
@@ -14,7 +14,7 @@
 
 /// Costs that differ by less than this many seconds count as equal, and chance decides, so that processes do not all
 /// take the same endpoint.
-constexpr double kTolerance = 0.002;
+constexpr double kCostToleranceSeconds = 0.002;
 
 double seconds(Duration span)
 {
@@ -55,18 +55,18 @@
 
 std::optional<EndpointSlot> CallPlacement::choose(const PlacementQuery &query, Instant now)
 {
-    if (const auto slot = cheapest(query, Choosiness::Usual, now)) {
+    if (const auto slot = cheapest(query, SelectionMode::Preferred, now)) {
         return slot;
     }
     const std::vector<EndpointSlot> &slots = m_registry.pool(query.pool);
-    const bool isUsualBusy = std::ranges::any_of(slots, [&](EndpointSlot slot) {
+    const bool isPreferredBusy = std::ranges::any_of(slots, [&](EndpointSlot slot) {
         const RegisteredEndpoint &it = m_registry.at(slot);
-        return m_admission.isInUse(slot, query, now) && (it.inFlight > 0 || it.backoff.isOn(now));
+        return m_admission.isHealthy(slot, query, now) && (it.inFlight > 0 || it.backoff.isOn(now));
     });
-    return isUsualBusy ? std::nullopt : cheapest(query, Choosiness::AnyAlive, now);
+    return isPreferredBusy ? std::nullopt : cheapest(query, SelectionMode::LastResort, now);
 }
 
-bool CallPlacement::hasUsable(const PlacementQuery &query, Instant now) const
+bool CallPlacement::hasOpenEndpoint(const PlacementQuery &query, Instant now) const
 {
     return std::ranges::any_of(m_registry.pool(query.pool), [&](EndpointSlot slot) {
         return m_admission.isOpen(slot, query, now);
@@ -89,39 +89,38 @@
     return first ? std::optional<Duration>(*first - now) : std::nullopt;
 }
 
-bool CallPlacement::isHeldByAllowances(const PlacementQuery &query, Instant now) const
+bool CallPlacement::isLimitedByAllowances(const PlacementQuery &query, Instant now) const
 {
     return std::ranges::any_of(m_registry.pool(query.pool), [&](EndpointSlot slot) {
-        return m_admission.admission(slot, query, now) == Admission::PartUsedUp;
+        return m_admission.admission(slot, query, now) == Admission::ShareUsedUp;
     });
 }
 
-bool CallPlacement::isCandidate(EndpointSlot slot, const PlacementQuery &query, Choosiness choosiness,
-                                Instant now) const
+bool CallPlacement::isCandidate(EndpointSlot slot, const PlacementQuery &query, SelectionMode mode, Instant now) const
 {
     const Admission admission = m_admission.admission(slot, query, now);
     const bool isLastResort = admission == Admission::Ejected || admission == Admission::Suspect;
-    return admission == Admission::Allowed || (choosiness == Choosiness::AnyAlive && isLastResort);
+    return admission == Admission::Allowed || (mode == SelectionMode::LastResort && isLastResort);
 }
 
-std::optional<EndpointSlot> CallPlacement::cheapest(const PlacementQuery &query, Choosiness choosiness, Instant now)
+std::optional<EndpointSlot> CallPlacement::cheapest(const PlacementQuery &query, SelectionMode mode, Instant now)
 {
-    const std::optional<EndpointSlot> home = homeOf(query, choosiness, now);
+    const std::optional<EndpointSlot> affinity = affinityEndpoint(query, mode, now);
     const Prompt prompt(query.parts);
     const std::vector<EndpointSlot> &slots = m_registry.pool(query.pool);
     std::optional<EndpointSlot> best;
     double bestCost = 0;
     std::uint64_t equals = 0;
     for (const EndpointSlot slot : slots) {
-        if (!isCandidate(slot, query, choosiness, now)) {
+        if (!isCandidate(slot, query, mode, now)) {
             continue;
         }
-        const double slotCost = cost(slot, query, prompt, home, now);
-        if (!best || slotCost < bestCost - kTolerance) {
+        const double slotCost = cost(slot, query, prompt, affinity, now);
+        if (!best || slotCost < bestCost - kCostToleranceSeconds) {
             best = slot;
             bestCost = slotCost;
             equals = 1;
-        } else if (slotCost < bestCost + kTolerance && m_random.below(++equals) == 0) {
+        } else if (slotCost < bestCost + kCostToleranceSeconds && m_random.below(++equals) == 0) {
             best = slot;
             bestCost = std::min(bestCost, slotCost);
         }
@@ -130,51 +129,52 @@
 }
 
 // Rendezvous hashing over all candidates: when an endpoint goes, only the prompts that met there move.
-std::optional<EndpointSlot> CallPlacement::homeOf(const PlacementQuery &query, Choosiness choosiness, Instant now) const
+std::optional<EndpointSlot> CallPlacement::affinityEndpoint(const PlacementQuery &query, SelectionMode mode,
+                                                            Instant now) const
 {
     const std::size_t shared = sharedParts(query.parts);
     if (shared == 0 || m_settings.hasNoAffinity) {
         return std::nullopt;
     }
     const std::uint64_t key = query.parts[shared - 1].id;
-    std::optional<EndpointSlot> home;
+    std::optional<EndpointSlot> affinity;
     std::uint64_t best = 0;
     for (const EndpointSlot slot : m_registry.pool(query.pool)) {
-        const bool isEligible = choosiness == Choosiness::Usual ? m_admission.isInUse(slot, query, now)
-                                                                : m_admission.isOpen(slot, query, now);
+        const bool isEligible = mode == SelectionMode::Preferred ? m_admission.isHealthy(slot, query, now)
+                                                                 : m_admission.isOpen(slot, query, now);
         if (!isEligible || m_registry.at(slot).backoff.isOn(now)) {
             continue;
         }
         const std::uint64_t score = rendezvousScore(m_registry.at(slot).hash, key);
-        if (!home || score > best) {
-            home = slot;
+        if (!affinity || score > best) {
+            affinity = slot;
             best = score;
         }
     }
-    return home;
+    return affinity;
 }
 
-std::int64_t CallPlacement::tokensToRead(EndpointSlot slot, const Prompt &prompt) const
+std::int64_t CallPlacement::tokensToPrefill(EndpointSlot slot, const Prompt &prompt) const
 {
     return prompt.tokensFrom[m_hints.cachedBlocks(slot, prompt.chain)];
 }
 
 double CallPlacement::cost(EndpointSlot slot, const PlacementQuery &query, const Prompt &prompt,
-                           std::optional<EndpointSlot> home, Instant now) const
+                           std::optional<EndpointSlot> affinity, Instant now) const
 {
     const RegisteredEndpoint &it = m_registry.at(slot);
-    std::int64_t toRead = tokensToRead(slot, prompt);
+    std::int64_t toPrefill = tokensToPrefill(slot, prompt);
     const std::int64_t own = prompt.tokensFrom[sharedParts(query.parts)];
-    // Other processes send their calls with this part to its home, so that it has read the part also where this process
-    // has not been told so.
-    if (home == slot) {
-        toRead = std::min(toRead, own);
+    // Other processes send their calls with this part to its affinity, so that it has read the part also where this
+    // process has not been told so.
+    if (affinity == slot) {
+        toPrefill = std::min(toPrefill, own);
     }
-    const double reread = m_settings.rereadFactor * static_cast<double>(std::max<std::int64_t>(toRead - own, 0));
-    const double tokens = static_cast<double>(toRead + it.unreadTokens) + reread;
+    const double reread = m_settings.rereadFactor * static_cast<double>(std::max<std::int64_t>(toPrefill - own, 0));
+    const double tokens = static_cast<double>(toPrefill + it.pendingPrefillTokens) + reread;
     const double batch = static_cast<double>(it.inFlight) / std::max(it.inFlightLimit, 1.0);
     const double zone = it.listing.zone == m_ownZone ? 0 : seconds(m_settings.zoneDistance);
-    return tokens / readTokensPerSecond(query.pool) + batch * seconds(m_settings.fullBatch) + zone
+    return tokens / prefillTokensPerSecond(query.pool) + batch * seconds(m_settings.fullBatch) + zone
         + delaySeconds(it, now);
 }
 
@@ -186,10 +186,10 @@
     return endpoint.delaySeconds * std::exp2(-seconds(now - endpoint.delayNotedAt) / seconds(m_settings.delayHalfLife));
 }
 
-double CallPlacement::readTokensPerSecond(const PoolId &pool) const
+double CallPlacement::prefillTokensPerSecond(const PoolId &pool) const
 {
     const auto it = m_speeds.find(pool);
-    return it == m_speeds.end() || m_settings.hasFixedSpeed ? m_settings.readTokensPerSecond
+    return it == m_speeds.end() || m_settings.hasFixedSpeed ? m_settings.prefillTokensPerSecond
                                                             : it->second.tokensPerSecond();
 }
 
@@ -199,7 +199,7 @@
 {
     std::optional<double> least;
     for (const EndpointSlot slot : m_registry.pool(query.pool)) {
-        if (isCandidate(slot, query, Choosiness::Usual, now)) {
+        if (isCandidate(slot, query, SelectionMode::Preferred, now)) {
             const double pressure = m_registry.at(slot).pressure.value(now);
             least = least ? std::min(*least, pressure) : pressure;
         }
@@ -216,10 +216,10 @@
 {
     RegisteredEndpoint &it = m_registry.at(slot);
     const Prompt prompt(query.parts);
-    const std::int64_t unread = tokensToRead(slot, prompt);
+    const std::int64_t prefillTokens = tokensToPrefill(slot, prompt);
     m_hints.noteDispatched(slot, prompt.chain);
     it.inFlight += 1;
-    it.unreadTokens += unread;
+    it.pendingPrefillTokens += prefillTokens;
     it.ejection.noteDispatched(now);
     if (m_registry.isCold(slot, now)) {
         it.coldCalls.note(now);
@@ -227,26 +227,26 @@
     if (m_registry.isLimited(slot, now)) {
         it.limitedCalls.note(now);
     }
-    return unread;
+    return prefillTokens;
 }
 
-void CallPlacement::noteRead(EndpointSlot slot, std::int64_t unread)
+void CallPlacement::notePrefilled(EndpointSlot slot, std::int64_t prefillTokens)
 {
     RegisteredEndpoint &it = m_registry.at(slot);
-    it.unreadTokens = std::max<std::int64_t>(it.unreadTokens - unread, 0);
+    it.pendingPrefillTokens = std::max<std::int64_t>(it.pendingPrefillTokens - prefillTokens, 0);
 }
 
-void CallPlacement::noteFirstAnswer(EndpointSlot slot, std::int64_t unread, Duration taken, Instant now)
+void CallPlacement::noteFirstAnswer(EndpointSlot slot, std::int64_t prefillTokens, Duration taken, Instant now)
 {
     RegisteredEndpoint &it = m_registry.at(slot);
-    const double expected = static_cast<double>(unread) / readTokensPerSecond(it.listing.pool);
+    const double expected = static_cast<double>(prefillTokens) / prefillTokensPerSecond(it.listing.pool);
     const double late = std::max(seconds(taken) - expected, 0.0);
     const double before = delaySeconds(it, now);
     it.delaySeconds = before + m_settings.delayStep * (late - before);
     it.delayNotedAt = now;
-    ReadingSpeedSettings speed;
-    speed.assumed = m_settings.readTokensPerSecond;
-    m_speeds.try_emplace(it.listing.pool, speed).first->second.note(unread, taken, now);
+    PrefillSpeedSettings speed;
+    speed.assumed = m_settings.prefillTokensPerSecond;
+    m_speeds.try_emplace(it.listing.pool, speed).first->second.note(prefillTokens, taken, now);
 }
 
 void CallPlacement::noteEnded(EndpointSlot slot, RunEnd end, Instant now)
@@ -333,8 +333,8 @@
 Duration CallPlacement::expectedFirstAnswer(EndpointSlot slot, const PlacementQuery &query, Instant now) const
 {
     const RegisteredEndpoint &it = m_registry.at(slot);
-    const double tokens = static_cast<double>(tokensToRead(slot, Prompt(query.parts)) + it.unreadTokens);
-    const double span = tokens / readTokensPerSecond(query.pool) + delaySeconds(it, now);
+    const double tokens = static_cast<double>(tokensToPrefill(slot, Prompt(query.parts)) + it.pendingPrefillTokens);
+    const double span = tokens / prefillTokensPerSecond(query.pool) + delaySeconds(it, now);
     return Duration(static_cast<Duration::rep>(span * 1e6));
 }
 
--- a/src/libradishswitch/serving/callplacement.h
+++ b/src/libradishswitch/serving/callplacement.h
@@ -7,7 +7,7 @@
 #include "serving/endpointregistry.h"
 #include "serving/placementquery.h"
 #include "serving/placementsettings.h"
-#include "serving/readingspeed.h"
+#include "serving/prefillspeed.h"
 
 #include <string>
 
@@ -31,7 +31,7 @@
     std::optional<EndpointSlot> choose(const PlacementQuery &query, Instant now);
 
     /// Whether the pool has any endpoint that may be sent new calls, with room or not.
-    bool hasUsable(const PlacementQuery &query, Instant now) const;
+    bool hasOpenEndpoint(const PlacementQuery &query, Instant now) const;
 
     /// How long until the first of the endpoints that may be sent such calls may be sent calls again; nothing where
     /// any may now.
@@ -44,16 +44,17 @@
     void notePressure(EndpointSlot slot, bool isLate, Instant now);
 
     /// Whether an endpoint has room that is spared only since it is cold.
-    bool isHeldByAllowances(const PlacementQuery &query, Instant now) const;
+    bool isLimitedByAllowances(const PlacementQuery &query, Instant now) const;
 
     /// A call was sent. Gives the prompt tokens that the endpoint has to read for it.
     std::int64_t noteSent(EndpointSlot slot, const PlacementQuery &query, Instant now);
 
-    /// The first part of the answer came, or the call ended before: `unread` of its prompt no longer waits there.
-    void noteRead(EndpointSlot slot, std::int64_t unread);
+    /// The first part of the answer came, or the call ended before: `prefillTokens` of its prompt no longer waits
+    /// there.
+    void notePrefilled(EndpointSlot slot, std::int64_t prefillTokens);
 
-    /// The first part of the answer took `taken`, and `unread` tokens had to be read for it.
-    void noteFirstAnswer(EndpointSlot slot, std::int64_t unread, Duration taken, Instant now);
+    /// The first part of the answer took `taken`, and `prefillTokens` tokens had to be read for it.
+    void noteFirstAnswer(EndpointSlot slot, std::int64_t prefillTokens, Duration taken, Instant now);
 
     void noteEnded(EndpointSlot slot, RunEnd end, Instant now);
 
@@ -86,20 +87,20 @@
         std::vector<std::int64_t> tokensFrom;
     };
 
-    enum class Choosiness {
-        Usual,
+    enum class SelectionMode {
+        Preferred,
         /// Also ejected and doubtful ones.
-        AnyAlive,
+        LastResort,
     };
 
-    bool isCandidate(EndpointSlot slot, const PlacementQuery &query, Choosiness choosiness, Instant now) const;
-    std::optional<EndpointSlot> cheapest(const PlacementQuery &query, Choosiness choosiness, Instant now);
-    std::optional<EndpointSlot> homeOf(const PlacementQuery &query, Choosiness choosiness, Instant now) const;
-    std::int64_t tokensToRead(EndpointSlot slot, const Prompt &prompt) const;
-    double cost(EndpointSlot slot, const PlacementQuery &query, const Prompt &prompt, std::optional<EndpointSlot> home,
-                Instant now) const;
+    bool isCandidate(EndpointSlot slot, const PlacementQuery &query, SelectionMode mode, Instant now) const;
+    std::optional<EndpointSlot> cheapest(const PlacementQuery &query, SelectionMode mode, Instant now);
+    std::optional<EndpointSlot> affinityEndpoint(const PlacementQuery &query, SelectionMode mode, Instant now) const;
+    std::int64_t tokensToPrefill(EndpointSlot slot, const Prompt &prompt) const;
+    double cost(EndpointSlot slot, const PlacementQuery &query, const Prompt &prompt,
+                std::optional<EndpointSlot> affinity, Instant now) const;
     double delaySeconds(const RegisteredEndpoint &endpoint, Instant now) const;
-    double readTokensPerSecond(const PoolId &pool) const;
+    double prefillTokensPerSecond(const PoolId &pool) const;
     void ejectUnlessTooMany(EndpointSlot slot, Instant now);
 
     EndpointRegistry &m_registry;
@@ -108,7 +109,7 @@
     const std::string m_ownZone;
     const PlacementSettings m_settings;
     PrefixCacheHints m_hints;
-    absl::flat_hash_map<PoolId, ReadingSpeed> m_speeds;
+    absl::flat_hash_map<PoolId, PrefillSpeed> m_speeds;
 };
 
 }
--- a/src/libradishswitch/serving/callrequest.h
+++ b/src/libradishswitch/serving/callrequest.h
@@ -35,7 +35,7 @@
     std::string apiKey;
     std::string host;
     /// How long the caller will wait from the moment at which it asked.
-    std::optional<Duration> patience;
+    std::optional<Duration> callerTimeout;
     /// The last event of a stream that the caller has; it asks for what comes after.
     std::optional<std::uint64_t> lastEvent;
     /// Nothing for calls without tokens.
--- a/src/libradishswitch/serving/endpointadmission.cpp
+++ b/src/libradishswitch/serving/endpointadmission.cpp
@@ -40,8 +40,8 @@
     if (it.inFlight >= static_cast<int>(it.inFlightLimit) || it.pause.isOn(now)) {
         return Admission::Full;
     }
-    if (isPartUsedUp(slot, now)) {
-        return Admission::PartUsedUp;
+    if (isShareUsedUp(slot, now)) {
+        return Admission::ShareUsedUp;
     }
     if (availability == EndpointAvailability::Suspect) {
         return Admission::Suspect;
@@ -49,7 +49,7 @@
     return it.ejection.isAllowed(now) ? Admission::Allowed : Admission::Ejected;
 }
 
-bool EndpointAdmission::isInUse(EndpointSlot slot, const PlacementQuery &query, Instant now) const
+bool EndpointAdmission::isHealthy(EndpointSlot slot, const PlacementQuery &query, Instant now) const
 {
     const RegisteredEndpoint &it = m_registry.at(slot);
     return query.regions.allows(it.region) && m_registry.availability(slot, now) == EndpointAvailability::Usable
@@ -68,7 +68,7 @@
 
 // Sent more than it bears while it is cold, an endpoint crashes, and its calls with it. One that names a limit is in
 // need.
-bool EndpointAdmission::isPartUsedUp(EndpointSlot slot, Instant now) const
+bool EndpointAdmission::isShareUsedUp(EndpointSlot slot, Instant now) const
 {
     const RegisteredEndpoint &it = m_registry.at(slot);
     const bool isLimited = m_registry.isLimited(slot, now);
@@ -77,7 +77,7 @@
         return true;
     }
     return m_registry.isCold(slot, now)
-        && !it.coldCalls.isBelow(m_allowances.ownColdCalls(it.listing.pool, it.hash), now);
+        && !it.coldCalls.isBelow(m_allowances.ownColdCallsPerSecond(it.listing.pool, it.hash), now);
 }
 
 }
--- a/src/libradishswitch/serving/endpointadmission.h
+++ b/src/libradishswitch/serving/endpointadmission.h
@@ -17,7 +17,7 @@
     /// It has as many calls of this process as it may have.
     Full,
     /// This process's part of what it takes, cold or by its own word, is used up.
-    PartUsedUp,
+    ShareUsedUp,
     /// It has asked for backoff.
     BackedOff,
     /// An earlier attempt of the call was there.
@@ -40,7 +40,7 @@
     Admission admission(EndpointSlot slot, const PlacementQuery &query, Instant now) const;
 
     /// Whether calls of the kind go there as a rule, room or not.
-    bool isInUse(EndpointSlot slot, const PlacementQuery &query, Instant now) const;
+    bool isHealthy(EndpointSlot slot, const PlacementQuery &query, Instant now) const;
 
     /// Whether calls of the kind may go there at all, at the latest after a backoff.
     bool isOpen(EndpointSlot slot, const PlacementQuery &query, Instant now) const;
@@ -49,7 +49,7 @@
     bool mayStillBeSent(EndpointSlot slot, Instant now) const;
 
 private:
-    bool isPartUsedUp(EndpointSlot slot, Instant now) const;
+    bool isShareUsedUp(EndpointSlot slot, Instant now) const;
 
     const EndpointRegistry &m_registry;
     const CallAllowances &m_allowances;
--- a/src/libradishswitch/serving/endpointregistry.h
+++ b/src/libradishswitch/serving/endpointregistry.h
@@ -111,7 +111,7 @@
     /// less.
     double fastGrowthLimit = 0;
     /// Prompt tokens sent here that the endpoint has yet to read before it answers.
-    std::int64_t unreadTokens = 0;
+    std::int64_t pendingPrefillTokens = 0;
     /// By how much first answers lately came later than expected, in seconds, and when that was noted.
     double delaySeconds = 0;
     Instant delayNotedAt{};
--- a/src/libradishswitch/serving/placementquery.h
+++ b/src/libradishswitch/serving/placementquery.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "serving/allowedregions.h"
 #include "serving/callrequest.h"
-#include "serving/regionbound.h"
 
 namespace RadishSwitch
 {
@@ -20,7 +20,7 @@
     Instant deadline{};
     /// Endpoints that earlier attempts of the call have tried.
     std::vector<EndpointId> excluded;
-    RegionBound regions;
+    AllowedRegions regions;
     /// An answer that takes longer tells that its endpoint is sent too much; zero for calls whose answers tell nothing
     /// of the kind, since they take as long as they are large.
     Duration lateAfter{};
--- a/src/libradishswitch/serving/placementsettings.h
+++ b/src/libradishswitch/serving/placementsettings.h
@@ -11,7 +11,7 @@
 /// What placement works with. Times are those that a caller feels.
 struct PlacementSettings {
     /// Speed at which an engine reads a prompt, in tokens a second: the engines' published 101 a millisecond.
-    double readTokensPerSecond = 101'000;
+    double prefillTokensPerSecond = 101'000;
     /// Added for a full batch, in proportion: from 3.0 to 4.4 ms a step, over the some fifteen steps that a short
     /// answer's pauses bear.
     Duration fullBatch = std::chrono::milliseconds(20);
--- a/src/libradishswitch/serving/poisondetector.cpp
+++ b/src/libradishswitch/serving/poisondetector.cpp
@@ -10,7 +10,8 @@
 {
 }
 
-std::vector<RequestFingerprint> PoisonDetector::take(const std::string &source, const CrashReport &report, Instant now)
+std::vector<RequestFingerprint> PoisonDetector::addReport(const std::string &source, const CrashReport &report,
+                                                          Instant now)
 {
     std::vector<RequestFingerprint> suspects;
     for (const CrashedRun &run : report.crashed) {
@@ -29,8 +30,8 @@
     for (const RequestFingerprint &request : suspects) {
         const auto it = m_requests.find(request);
         const bool isNew = it != m_requests.end() && !it->second.isBarred();
-        if (isNew && countedCrashes(request) >= m_settings.enoughCrashes) {
-            it->second.isConvicted = true;
+        if (isNew && countedCrashes(request) >= m_settings.crashThreshold) {
+            it->second.isBarredHere = true;
             barred.push_back(request);
         }
     }
@@ -79,12 +80,12 @@
             return crash.source == source;
         };
         if (std::erase_if(known.crashes, isOfSource) > 0) {
-            known.isConvicted = known.isConvicted && countedCrashes(request) >= m_settings.enoughCrashes;
+            known.isBarredHere = known.isBarredHere && countedCrashes(request) >= m_settings.crashThreshold;
             touched.push_back(request);
         }
     }
     for (const RequestFingerprint &request : touched) {
-        eraseIfBlank(request);
+        eraseIfEmpty(request);
     }
     absl::erase_if(m_ranAt, [this](const auto &entry) {
         return std::ranges::none_of(entry.second, [this](const RequestFingerprint &request) {
@@ -99,7 +100,7 @@
     if (isNew) {
         m_order.push_back(request);
     }
-    it->second.isBarredByOthers = true;
+    it->second.isBarredElsewhere = true;
     forgetOldest();
 }
 
@@ -107,8 +108,8 @@
 {
     const auto it = m_requests.find(request);
     if (it != m_requests.end()) {
-        it->second.isBarredByOthers = false;
-        eraseIfBlank(request);
+        it->second.isBarredElsewhere = false;
+        eraseIfEmpty(request);
     }
 }
 
@@ -138,25 +139,25 @@
         return 0;
     }
     int unexplained = 0;
-    int inSequence = 0;
+    int sequential = 0;
     int counted = 0;
-    int ofMoment = 0;
-    std::optional<Instant> moment;
+    int inWindow = 0;
+    std::optional<Instant> windowStart;
     for (const Crash &crash : it->second.crashes) {
         if (isExplained(crash.incarnation, request)) {
             continue;
         }
         ++unexplained;
-        inSequence = std::max(inSequence, crash.before + 1);
-        if (!moment || crash.knownAt - *moment > m_settings.together) {
-            moment = crash.knownAt;
-            ofMoment = 0;
+        sequential = std::max(sequential, crash.crashesBefore + 1);
+        if (!windowStart || crash.knownAt - *windowStart > m_settings.coincidenceWindow) {
+            windowStart = crash.knownAt;
+            inWindow = 0;
         }
-        counted += ofMoment < m_settings.mostTogether ? 1 : 0;
-        ++ofMoment;
+        counted += inWindow < m_settings.maxCoincidentCrashes ? 1 : 0;
+        ++inWindow;
     }
     // What a run knew of may have been cleared since.
-    return std::max(counted, std::min(inSequence, unexplained));
+    return std::max(counted, std::min(sequential, unexplained));
 }
 
 bool PoisonDetector::isExplained(const EndpointIncarnation &incarnation, const RequestFingerprint &request) const
@@ -171,7 +172,7 @@
     });
 }
 
-void PoisonDetector::eraseIfBlank(const RequestFingerprint &request)
+void PoisonDetector::eraseIfEmpty(const RequestFingerprint &request)
 {
     const auto it = m_requests.find(request);
     if (it != m_requests.end() && it->second.crashes.empty() && !it->second.isBarred()) {
@@ -182,7 +183,7 @@
 // The order keeps names of requests that are cleared since; they cost nothing when their turn comes.
 void PoisonDetector::forgetOldest()
 {
-    while (m_order.size() > m_settings.mostRequests) {
+    while (m_order.size() > m_settings.maxRequests) {
         clear(m_order.front());
         m_order.pop_front();
     }
--- a/src/libradishswitch/serving/poisondetector.h
+++ b/src/libradishswitch/serving/poisondetector.h
@@ -15,14 +15,14 @@
 
 struct PoisonSettings {
     /// Endpoints that must have crashed under a request before it is taken for the cause.
-    int enoughCrashes = 3;
+    int crashThreshold = 3;
     /// Endpoints that crash within this may have a cause of their own in common, such as a loss of power, which breaks
     /// off all copies of a frequent request at once. News of one moment is spread over as much.
-    Duration together = std::chrono::milliseconds(500);
+    Duration coincidenceWindow = std::chrono::milliseconds(500);
     /// Crashes of one such moment that count.
-    int mostTogether = 2;
+    int maxCoincidentCrashes = 2;
     /// Requests of which crashes are remembered; the oldest is forgotten first. Some 200 bytes each.
-    std::size_t mostRequests = 10'000;
+    std::size_t maxRequests = 10'000;
 };
 
 /// Finds the requests that crash each endpoint which runs them.
@@ -32,8 +32,8 @@
 /// elsewhere, or does not come again. So a request is barred once enough endpoints have crashed under it since it was
 /// last answered, without those whose crashes another barred request explains better.
 ///
-/// Endpoints that crash at one moment count little, since a loss of power breaks off all copies of a frequent request;
-/// unless a run was sent when the crashes before it were known already.
+/// Endpoints that crash at one moment count little, since a loss of power breaks off all copies of a frequent
+/// request; unless a run was sent when the crashes before it were known already.
 class PoisonDetector
 {
 public:
@@ -41,7 +41,7 @@
 
     /// Takes in what a gateway has seen, once for each endpoint and request. `source` names the report. Gives the
     /// requests that are barred from now on.
-    std::vector<RequestFingerprint> take(const std::string &source, const CrashReport &report, Instant now);
+    std::vector<RequestFingerprint> addReport(const std::string &source, const CrashReport &report, Instant now);
 
     /// The report counts no longer.
     void forget(const std::string &source);
@@ -74,25 +74,25 @@
         Instant knownAt{};
         std::string source;
         /// As in the report.
-        int before = 0;
+        int crashesBefore = 0;
     };
 
     struct Request {
         /// In the order in which they became known.
         std::vector<Crash> crashes;
-        bool isConvicted = false;
-        bool isBarredByOthers = false;
+        bool isBarredHere = false;
+        bool isBarredElsewhere = false;
 
         bool isBarred() const
         {
-            return isConvicted || isBarredByOthers;
+            return isBarredHere || isBarredElsewhere;
         }
     };
 
     bool note(const std::string &source, const CrashedRun &run, Instant now);
     void clear(const RequestFingerprint &request);
     bool isExplained(const EndpointIncarnation &incarnation, const RequestFingerprint &request) const;
-    void eraseIfBlank(const RequestFingerprint &request);
+    void eraseIfEmpty(const RequestFingerprint &request);
     void forgetOldest();
 
     const PoisonSettings m_settings;
--- a/src/libradishswitch/serving/readingspeed.cpp
+++ b/src/libradishswitch/serving/prefillspeed.cpp
@@ -1,4 +1,4 @@
-#include "serving/readingspeed.h"
+#include "serving/prefillspeed.h"
 
 #include <cmath>
 
@@ -15,14 +15,14 @@
 
 }
 
-ReadingSpeed::ReadingSpeed(const ReadingSpeedSettings &settings)
+PrefillSpeed::PrefillSpeed(const PrefillSpeedSettings &settings)
     : m_settings(settings)
 {
 }
 
-void ReadingSpeed::note(std::int64_t tokens, Duration taken, Instant now)
+void PrefillSpeed::note(std::int64_t tokens, Duration taken, Instant now)
 {
-    if (tokens < m_settings.leastTokens || taken <= Duration::zero()) {
+    if (tokens < m_settings.minimumTokens || taken <= Duration::zero()) {
         return;
     }
     const double kept = std::exp2(-secondsOf(now - m_notedAt) / secondsOf(m_settings.halfLife));
@@ -31,10 +31,10 @@
     m_notedAt = now;
 }
 
-double ReadingSpeed::tokensPerSecond() const
+double PrefillSpeed::tokensPerSecond() const
 {
-    const double assumedSeconds = m_settings.assumedTokens / m_settings.assumed;
-    return (m_tokens + m_settings.assumedTokens) / (m_seconds + assumedSeconds);
+    const double assumedSeconds = m_settings.assumptionWeightTokens / m_settings.assumed;
+    return (m_tokens + m_settings.assumptionWeightTokens) / (m_seconds + assumedSeconds);
 }
 
 }
--- a/tests/core/serving/regionbound_test.cpp
+++ b/tests/core/serving/allowedregions_test.cpp
@@ -1,6 +1,6 @@
 #include "seededrandom.h"
+#include "serving/allowedregions.h"
 #include "serving/callgate.h"
-#include "serving/regionbound.h"
 #include "virtualtimerservice.h"
 
 #include <gtest/gtest.h>
@@ -10,43 +10,43 @@
 
 using namespace RadishSwitch;
 
-class RegionBoundTest : public testing::Test
+class AllowedRegionsTest : public testing::Test
 {
 };
 
-TEST_F(RegionBoundTest, neitherNamesRegions_allAreAllowed)
+TEST_F(AllowedRegionsTest, neitherNamesRegions_allAreAllowed)
 {
-    EXPECT_TRUE(RegionBound({}, {}).allows("east"));
-    EXPECT_TRUE(RegionBound({}, {}).allows(""));
+    EXPECT_TRUE(AllowedRegions({}, {}).allows("east"));
+    EXPECT_TRUE(AllowedRegions({}, {}).allows(""));
 }
 
-TEST_F(RegionBoundTest, bothNameRegions_onlyWhatBothNameIsAllowed)
+TEST_F(AllowedRegionsTest, bothNameRegions_onlyWhatBothNameIsAllowed)
 {
-    const RegionBound bound({"east", "west"}, {"west", "south"});
+    const AllowedRegions bound({"east", "west"}, {"west", "south"});
     EXPECT_TRUE(bound.allows("west"));
     EXPECT_FALSE(bound.allows("east"));
     EXPECT_FALSE(bound.allows("south"));
 }
 
-TEST_F(RegionBoundTest, boundsWithoutACommonRegion_allowNone)
+TEST_F(AllowedRegionsTest, boundsWithoutACommonRegion_allowNone)
 {
-    const RegionBound bound({"east"}, {"west"});
+    const AllowedRegions bound({"east"}, {"west"});
     EXPECT_FALSE(bound.allows("east"));
     EXPECT_FALSE(bound.allows("west"));
 }
 
 // Guards against a prompt that leaves its region by way of an endpoint in a zone that nobody told the region of.
-TEST_F(RegionBoundTest, unknownRegion_isNotAllowed)
+TEST_F(AllowedRegionsTest, unknownRegion_isNotAllowed)
 {
-    EXPECT_FALSE(RegionBound({"east"}, {}).allows(""));
-    EXPECT_FALSE(RegionBound({}, {"east"}).allows(""));
+    EXPECT_FALSE(AllowedRegions({"east"}, {}).allows(""));
+    EXPECT_FALSE(AllowedRegions({}, {"east"}).allows(""));
 }
 
 /// Two regions with an endpoint each; the one in the east has room for one call.
-class BoundCallsTest : public testing::Test
+class RestrictedCallsTest : public testing::Test
 {
 protected:
-    BoundCallsTest()
+    RestrictedCallsTest()
         : gate(timers, random, "gateway", "north", settings())
     {
         list("eastern", "north", 1);
@@ -73,7 +73,7 @@
     }
 
     /// Where a call of that bound goes; nothing while it waits; "refused" if it is.
-    std::optional<std::string> place(const RegionBound &regions)
+    std::optional<std::string> place(const AllowedRegions &regions)
     {
         PlacementQuery query;
         query.call = RequestId("call-" + std::to_string(++m_calls));
@@ -99,28 +99,28 @@
 };
 
 // Guards against a prompt that leaves its region because the endpoints there are full, cordoned or gone.
-TEST_F(BoundCallsTest, boundCalls_goNowhereElse)
+TEST_F(RestrictedCallsTest, boundCalls_goNowhereElse)
 {
-    const RegionBound east({"east"}, {});
+    const AllowedRegions east({"east"}, {});
     EXPECT_EQ(place(east), "eastern");
     gate.closeZone("north");
     EXPECT_EQ(place(east), "refused");
 }
 
 // Guards against callers that wait for an endpoint that cannot be there.
-TEST_F(BoundCallsTest, boundsThatLeaveNothing_areRefusedAtOnce)
+TEST_F(RestrictedCallsTest, boundsThatLeaveNothing_areRefusedAtOnce)
 {
-    EXPECT_EQ(place(RegionBound({"east"}, {"west"})), "refused");
-    EXPECT_EQ(place(RegionBound({"moon"}, {})), "refused");
+    EXPECT_EQ(place(AllowedRegions({"east"}, {"west"})), "refused");
+    EXPECT_EQ(place(AllowedRegions({"moon"}, {})), "refused");
 }
 
 // Guards against free endpoints that stand idle, because the call at the head of the line may not be sent there.
-TEST_F(BoundCallsTest, boundCallAtTheHeadOfTheLine_doesNotHoldUpOthers)
+TEST_F(RestrictedCallsTest, boundCallAtTheHeadOfTheLine_doesNotHoldUpOthers)
 {
-    const RegionBound east({"east"}, {});
+    const AllowedRegions east({"east"}, {});
     EXPECT_EQ(place(east), "eastern");
     EXPECT_EQ(place(east), std::nullopt);
-    EXPECT_EQ(place(RegionBound()), std::nullopt) << "behind the one that waits";
+    EXPECT_EQ(place(AllowedRegions()), std::nullopt) << "behind the one that waits";
     timers.advance(std::chrono::milliseconds(60));
     EXPECT_EQ(placedElsewhere, 1);
 }
--- a/tests/core/serving/attemptrules_test.cpp
+++ b/tests/core/serving/attemptrules_test.cpp
@@ -25,7 +25,7 @@
     const AttemptHistory order = history(Repetition::Never, 1, 5, true);
     EXPECT_EQ(furtherAttempt(order, AttemptEnd::Broken), FurtherAttempt::NotIdempotent);
     EXPECT_EQ(furtherAttempt(order, AttemptEnd::Silent), FurtherAttempt::NotIdempotent);
-    EXPECT_EQ(outcomeOf(failureOfAttempts(order, AttemptEnd::Broken)), RunOutcome::Unknown);
+    EXPECT_EQ(outcomeOf(failureAfterAttempts(order, AttemptEnd::Broken)), RunOutcome::Unknown);
 }
 
 TEST_F(AttemptRulesTest, orderRefusedByEndpoint_isTriedAgainWithinItsAttempts)
@@ -34,7 +34,7 @@
               FurtherAttempt::Granted);
     const AttemptHistory spent = history(Repetition::Never, 1, 1, false);
     EXPECT_EQ(furtherAttempt(spent, AttemptEnd::RefusedByEndpoint), FurtherAttempt::AttemptsUsed);
-    const absl::Status failure = failureOfAttempts(spent, AttemptEnd::RefusedByEndpoint);
+    const absl::Status failure = failureAfterAttempts(spent, AttemptEnd::RefusedByEndpoint);
     EXPECT_EQ(outcomeOf(failure), RunOutcome::NotRun);
     EXPECT_TRUE(retryAfterOf(failure).has_value());
 }
@@ -44,7 +44,7 @@
 {
     const AttemptHistory call = history(Repetition::Never, 1, 1, false);
     const absl::Status failure =
-        failureOfAttempts(call, AttemptEnd::RefusedByEndpoint, std::chrono::milliseconds(2700));
+        failureAfterAttempts(call, AttemptEnd::RefusedByEndpoint, std::chrono::milliseconds(2700));
     EXPECT_EQ(retryAfterOf(failure), std::chrono::milliseconds(2700));
     EXPECT_EQ(outcomeOf(failure), RunOutcome::NotRun);
 }
@@ -53,7 +53,7 @@
 TEST_F(AttemptRulesTest, refusalBehindALostAnswer_staysUnknown)
 {
     const AttemptHistory call = history(Repetition::Always, 2, 2, true);
-    EXPECT_EQ(outcomeOf(failureOfAttempts(call, AttemptEnd::RefusedByEndpoint)), RunOutcome::Unknown);
+    EXPECT_EQ(outcomeOf(failureAfterAttempts(call, AttemptEnd::RefusedByEndpoint)), RunOutcome::Unknown);
 }
 
 TEST_F(AttemptRulesTest, repeatableCalls_goElsewhereUntilTheirAttemptsAreUsed)
--- a/tests/core/serving/callallowances_test.cpp
+++ b/tests/core/serving/callallowances_test.cpp
@@ -40,8 +40,8 @@
     {
         std::size_t sum = 0;
         for (const auto &[self, weight] : gateways(count)) {
-            sum +=
-                allowances(self, gateways(count), callsPerSecond).ownColdCalls(PoolId("llm"), rendezvousHash(endpoint));
+            sum += allowances(self, gateways(count), callsPerSecond)
+                       .ownColdCallsPerSecond(PoolId("llm"), rendezvousHash(endpoint));
         }
         return sum;
     }
@@ -79,19 +79,21 @@
 TEST_F(CallAllowancesTest, strongGateway_hasThePartOfItsWeight)
 {
     const std::map<std::string, double> weights{{"strong", 0.5}, {"weak-1", 0.1}, {"weak-2", 0.1}, {"weak-3", 0.1}};
-    EXPECT_GE(allowances("strong", weights, 18).ownColdCalls(PoolId("llm"), 7), 11U);
-    EXPECT_GE(allowances("weak-1", weights, 18).ownColdCalls(PoolId("llm"), 7), 2U);
+    EXPECT_GE(allowances("strong", weights, 18).ownColdCallsPerSecond(PoolId("llm"), 7), 11U);
+    EXPECT_GE(allowances("weak-1", weights, 18).ownColdCallsPerSecond(PoolId("llm"), 7), 2U);
 }
 
 TEST_F(CallAllowancesTest, gatewayThatIsNotListedYet_countsAsAnAverageOne)
 {
-    EXPECT_LE(allowances("new", {{"a", 0.1}, {"b", 0.1}}, 18).ownColdCalls(PoolId("llm"), 7), 6U);
+    EXPECT_LE(allowances("new", {{"a", 0.1}, {"b", 0.1}}, 18).ownColdCallsPerSecond(PoolId("llm"), 7), 6U);
 }
 
 TEST_F(CallAllowancesTest, poolWithoutABound_isNotBounded)
 {
-    EXPECT_EQ(allowances("gateway-0", gateways(3), 0).ownColdCalls(PoolId("llm"), 1), CallAllowances::kUnbounded);
-    EXPECT_EQ(allowances("gateway-0", gateways(3), 5).ownColdCalls(PoolId("other"), 1), CallAllowances::kUnbounded);
+    EXPECT_EQ(allowances("gateway-0", gateways(3), 0).ownColdCallsPerSecond(PoolId("llm"), 1),
+              CallAllowances::kUnbounded);
+    EXPECT_EQ(allowances("gateway-0", gateways(3), 5).ownColdCallsPerSecond(PoolId("other"), 1),
+              CallAllowances::kUnbounded);
 }
 
 class SlidingCountTest : public testing::Test
--- a/tests/core/serving/coldzone_test.cpp
+++ b/tests/core/serving/coldzone_test.cpp
@@ -1,5 +1,5 @@
 #include "base/failure.h"
-#include "readingengines.h"
+#include "prefillengines.h"
 
 #include <gtest/gtest.h>
 
@@ -56,7 +56,7 @@
     static EndpointListing listing(int engine)
     {
         EndpointListing it;
-        it.id = ReadingEngines::id(engine);
+        it.id = PrefillEngines::id(engine);
         it.pool = PoolId("llm");
         it.address = "10.0.0." + std::to_string(engine) + ":1";
         it.zone = zone(engine);
@@ -99,7 +99,7 @@
                 return;
             }
             noteArrival(placement->endpoint);
-            engines.read(placement->endpoint, query.parts, [&gate, id = placement->id] {
+            engines.prefill(placement->endpoint, query.parts, [&gate, id = placement->id] {
                 gate.noteFirstAnswer(id);
                 gate.noteEnded(id, RunEnd::Ok);
             });
@@ -135,7 +135,7 @@
 
     VirtualTimerService timers;
     SeededRandom random{5};
-    ReadingEngines engines{timers, kEngines};
+    PrefillEngines engines{timers, kEngines};
     std::vector<std::unique_ptr<CallGate>> gates;
     std::map<std::string, std::deque<Instant>> arrivals;
     int calls = 0;
--- a/tests/core/serving/fleetload_test.cpp
+++ b/tests/core/serving/fleetload_test.cpp
@@ -1,4 +1,4 @@
-#include "readingengines.h"
+#include "prefillengines.h"
 
 #include <gtest/gtest.h>
 
@@ -28,7 +28,7 @@
 
     struct Outcome {
         int late = 0;
-        std::int64_t rereadTokens = 0;
+        std::int64_t recomputedTokens = 0;
     };
 
     /// Plays a minute in which `kinds` are asked for, `surge` times as often as usual.
@@ -36,7 +36,7 @@
     {
         VirtualTimerService timers;
         SeededRandom random{11};
-        ReadingEngines engines(timers, kEngines, enginesTokensPerSecond);
+        PrefillEngines engines(timers, kEngines, enginesTokensPerSecond);
         std::vector<std::unique_ptr<CallGate>> gates;
         for (int n = 0; n < kGateways; ++n) {
             CallGateSettings settings;
@@ -58,7 +58,7 @@
             timers.advance(std::chrono::milliseconds(1));
         }
         timers.advance(std::chrono::seconds(30));
-        outcome.rereadTokens = engines.rereadTokens();
+        outcome.recomputedTokens = engines.recomputedTokens();
         return outcome;
     }
 
@@ -72,7 +72,7 @@
     {
         for (int n = 0; n < kEngines; ++n) {
             EndpointListing listing;
-            listing.id = ReadingEngines::id(n);
+            listing.id = PrefillEngines::id(n);
             listing.pool = PoolId("llm");
             listing.address = "10.0.0." + std::to_string(n) + ":1";
             listing.zone = zone(n);
@@ -100,7 +100,7 @@
         return query;
     }
 
-    static void send(CallGate &gate, ReadingEngines &engines, VirtualTimerService &timers, PlacementQuery query,
+    static void send(CallGate &gate, PrefillEngines &engines, VirtualTimerService &timers, PlacementQuery query,
                      int &late)
     {
         const Duration target = kKinds[static_cast<std::size_t>(query.priority)].target;
@@ -111,11 +111,12 @@
                 ++late;
                 return;
             }
-            engines.read(placement->endpoint, query.parts, [&gate, &late, &timers, id = placement->id, begin, target] {
-                late += timers.now() - begin > target ? 1 : 0;
-                gate.noteFirstAnswer(id);
-                gate.noteEnded(id, RunEnd::Ok);
-            });
+            engines.prefill(placement->endpoint, query.parts,
+                            [&gate, &late, &timers, id = placement->id, begin, target] {
+                                late += timers.now() - begin > target ? 1 : 0;
+                                gate.noteFirstAnswer(id);
+                                gate.noteEnded(id, RunEnd::Ok);
+                            });
         });
     }
 
--- a/tests/core/serving/poisondetector_test.cpp
+++ b/tests/core/serving/poisondetector_test.cpp
@@ -32,12 +32,12 @@
         for (const std::string &body : bodies) {
             report.crashed.push_back({incarnation(endpoint), request(body), 0});
         }
-        return detector.take("report-" + std::to_string(++reports), report, now);
+        return detector.addReport("report-" + std::to_string(++reports), report, now);
     }
 
     void answer(const std::string &body)
     {
-        detector.take("report-" + std::to_string(++reports), {{}, {request(body)}}, now);
+        detector.addReport("report-" + std::to_string(++reports), {{}, {request(body)}}, now);
     }
 
     void wait(Duration span)
@@ -115,7 +115,7 @@
     for (int n = 0; n < 3; ++n) {
         EXPECT_FALSE(detector.isBarred(request("poison")));
         const int before = detector.countedCrashes(request("poison"));
-        detector.take("report-" + std::to_string(n), {{{incarnation(n), request("poison"), before}}, {}}, now);
+        detector.addReport("report-" + std::to_string(n), {{{incarnation(n), request("poison"), before}}, {}}, now);
         wait(std::chrono::milliseconds(60));
     }
     EXPECT_TRUE(detector.isBarred(request("poison")));
@@ -124,7 +124,7 @@
 // Guards against a report that accuses by a number it made up.
 TEST_F(PoisonDetectorTest, countBeforeThatNobodyElseKnows_doesNotBar)
 {
-    detector.take("report", {{{incarnation(1), request("request"), 1'000'000}}, {}}, now);
+    detector.addReport("report", {{{incarnation(1), request("request"), 1'000'000}}, {}}, now);
     EXPECT_FALSE(detector.isBarred(request("request")));
 }
 
@@ -178,10 +178,10 @@
 TEST_F(PoisonDetectorTest, moreRequestsThanAreRemembered_forgetTheOldest)
 {
     PoisonSettings settings;
-    settings.mostRequests = 100;
+    settings.maxRequests = 100;
     PoisonDetector bounded(settings);
     for (int n = 0; n < 1000; ++n) {
-        bounded.take("report-" + std::to_string(n), {{{incarnation(n), request(std::to_string(n)), 0}}, {}}, now);
+        bounded.addReport("report-" + std::to_string(n), {{{incarnation(n), request(std::to_string(n)), 0}}, {}}, now);
     }
     EXPECT_EQ(bounded.crashes(request("0")), 0U);
     EXPECT_EQ(bounded.crashes(request("999")), 1U);
@@ -223,7 +223,7 @@
         for (int n = 0; n < kGateways; ++n) {
             std::ranges::stable_sort(news[n], {}, &News::at);
             while (!news[n].empty() && news[n].front().at <= now) {
-                detectors[n].take(news[n].front().source, news[n].front().report, now);
+                detectors[n].addReport(news[n].front().source, news[n].front().report, now);
                 news[n].pop_front();
             }
         }
--- a/tests/core/serving/readingspeed_test.cpp
+++ b/tests/core/serving/prefillspeed_test.cpp
@@ -1,4 +1,4 @@
-#include "serving/readingspeed.h"
+#include "serving/prefillspeed.h"
 
 #include <gtest/gtest.h>
 
@@ -14,14 +14,14 @@
 
 }
 
-TEST(ReadingSpeedTest, withoutAnswers_isTheAssumedOne)
+TEST(PrefillSpeedTest, withoutAnswers_isTheAssumedOne)
 {
-    EXPECT_DOUBLE_EQ(ReadingSpeed().tokensPerSecond(), 101'000);
+    EXPECT_DOUBLE_EQ(PrefillSpeed().tokensPerSecond(), 101'000);
 }
 
-TEST(ReadingSpeedTest, answersOfSlowerEngines_bringItDown)
+TEST(PrefillSpeedTest, answersOfSlowerEngines_bringItDown)
 {
-    ReadingSpeed speed;
+    PrefillSpeed speed;
     for (int n = 0; n < 20; ++n) {
         speed.note(9'000, std::chrono::milliseconds(300), at(n));
     }
@@ -29,18 +29,18 @@
 }
 
 // The time of a short prompt tells of the network and the queue.
-TEST(ReadingSpeedTest, shortPrompts_tellNothing)
+TEST(PrefillSpeedTest, shortPrompts_tellNothing)
 {
-    ReadingSpeed speed;
+    PrefillSpeed speed;
     for (int n = 0; n < 20; ++n) {
         speed.note(500, std::chrono::milliseconds(300), at(n));
     }
     EXPECT_DOUBLE_EQ(speed.tokensPerSecond(), 101'000);
 }
 
-TEST(ReadingSpeedTest, enginesThatBecomeFaster_areNoticedWithinAMinute)
+TEST(PrefillSpeedTest, enginesThatBecomeFaster_areNoticedWithinAMinute)
 {
-    ReadingSpeed speed;
+    PrefillSpeed speed;
     for (int n = 0; n < 20; ++n) {
         speed.note(9'000, std::chrono::milliseconds(900), at(n));
     }
--- a/tests/core/serving/servingload_test.cpp
+++ b/tests/core/serving/servingload_test.cpp
@@ -1,5 +1,5 @@
 #include "base/failure.h"
-#include "readingengines.h"
+#include "prefillengines.h"
 
 #include <gtest/gtest.h>
 
@@ -25,7 +25,7 @@
     {
         for (int n = 0; n < count; ++n) {
             EndpointListing listing;
-            listing.id = ReadingEngines::id(n);
+            listing.id = PrefillEngines::id(n);
             listing.pool = PoolId("llm");
             listing.address = "10.0.0." + std::to_string(n) + ":1";
             listing.zone = "a";
@@ -51,17 +51,17 @@
     {
         const Instant begin = timers.now();
         if (isRandom) {
-            engines.read(ReadingEngines::id(static_cast<int>(random.below(kEngines))), query.parts,
-                         [this, begin, &inTime] {
-                             inTime += timers.now() - begin <= kTarget ? 1 : 0;
-                         });
+            engines.prefill(PrefillEngines::id(static_cast<int>(random.below(kEngines))), query.parts,
+                            [this, begin, &inTime] {
+                                inTime += timers.now() - begin <= kTarget ? 1 : 0;
+                            });
             return;
         }
         gate.place(query, [this, query, begin, &inTime](const absl::StatusOr<Placement> &placement) {
             if (!placement.ok()) {
                 return;
             }
-            engines.read(placement->endpoint, query.parts, [this, id = placement->id, begin, &inTime] {
+            engines.prefill(placement->endpoint, query.parts, [this, id = placement->id, begin, &inTime] {
                 inTime += timers.now() - begin <= kTarget ? 1 : 0;
                 gate.noteFirstAnswer(id);
                 gate.noteEnded(id, RunEnd::Ok);
@@ -88,7 +88,7 @@
     VirtualTimerService timers;
     SeededRandom random{7};
     CallGate gate;
-    ReadingEngines engines;
+    PrefillEngines engines;
 
 private:
     int m_calls = 0;
@@ -116,7 +116,7 @@
         timers.advance(Milliseconds(20));
     }
     // Sent at random, each of the hundred sessions is read three more times: 1.5 million tokens.
-    EXPECT_LT(engines.rereadTokens(), 150'000);
+    EXPECT_LT(engines.recomputedTokens(), 150'000);
     EXPECT_GE(inTime, 1980);
 }
 
@@ -137,9 +137,9 @@
         return inTime;
     };
     const int ours = play(false, 1000);
-    const std::int64_t oursRead = engines.rereadTokens();
+    const std::int64_t oursRead = engines.recomputedTokens();
     const int baseline = play(true, 2000);
-    const std::int64_t baselineRead = engines.rereadTokens() - oursRead;
+    const std::int64_t baselineRead = engines.recomputedTokens() - oursRead;
     EXPECT_GE(ours, 1850);
     EXPECT_GT(ours, baseline);
     EXPECT_LT(oursRead, baselineRead / 3);
@@ -155,7 +155,7 @@
         const PlacementQuery it = query({});
         gate.place(it, [&](const absl::StatusOr<Placement> &placement) {
             ASSERT_TRUE(placement.ok());
-            const bool isDark = placement->endpoint == ReadingEngines::id(2);
+            const bool isDark = placement->endpoint == PrefillEngines::id(2);
             failed += isDark ? 1 : 0;
             gate.noteEnded(placement->id, isDark ? RunEnd::Failed : RunEnd::Ok);
         });
@@ -173,7 +173,7 @@
     for (int n = 0; n < 1000; ++n) {
         gate.place(query({}), [&](const absl::StatusOr<Placement> &placement) {
             ASSERT_TRUE(placement.ok());
-            if (placement->endpoint != ReadingEngines::id(2)) {
+            if (placement->endpoint != PrefillEngines::id(2)) {
                 return gate.noteEnded(placement->id, RunEnd::Ok);
             }
             kept.push_back(placement->id);
@@ -280,7 +280,7 @@
 TEST_F(ServingLoadTest, endpointThatRefuses_getsHalfAsMuchAndGrowsBack)
 {
     list(1, 16);
-    const EndpointSlot slot = *gate.registry().slotOf(ReadingEngines::id(0));
+    const EndpointSlot slot = *gate.registry().slotOf(PrefillEngines::id(0));
     const auto run = [this](RunEnd end, int count) {
         std::vector<PlacementId> calls;
         for (int n = 0; n < count; ++n) {
--- a/tests/fakes/readingengines.h
+++ b/tests/fakes/prefillengines.h
@@ -17,12 +17,12 @@
 
 /// Model engines in virtual time, as far as placement can tell them apart: each reads the prompts that it is sent one
 /// after the other, leaves out the parts that it has read before, and answers when it has read.
-class ReadingEngines
+class PrefillEngines
 {
 public:
     static constexpr double kTokensPerSecond = 101'000;
 
-    ReadingEngines(VirtualTimerService &timers, int count, double tokensPerSecond = kTokensPerSecond)
+    PrefillEngines(VirtualTimerService &timers, int count, double tokensPerSecond = kTokensPerSecond)
         : m_timers(timers)
         , m_tokensPerSecond(tokensPerSecond)
         , m_engines(static_cast<std::size_t>(count))
@@ -35,19 +35,19 @@
     }
 
     /// Reads a prompt and calls back when the first answer is there.
-    void read(const EndpointId &endpoint, const std::vector<PromptPart> &parts, std::function<void()> onAnswer)
+    void prefill(const EndpointId &endpoint, const std::vector<PromptPart> &parts, std::function<void()> onAnswer)
     {
         Engine &engine = m_engines[static_cast<std::size_t>(std::stoi(endpoint.value().substr(7)))];
         std::int64_t tokens = 0;
-        bool isKept = true;
+        bool isCached = true;
         for (const PromptPart &part : parts) {
-            isKept = isKept && engine.kept.contains(part.id);
-            if (!isKept) {
+            isCached = isCached && engine.cached.contains(part.id);
+            if (!isCached) {
                 tokens += part.tokens;
-                m_reread += m_everRead.contains(part.id) ? part.tokens : 0;
+                m_recomputed += m_everPrefilled.contains(part.id) ? part.tokens : 0;
             }
-            engine.kept.insert(part.id);
-            m_everRead.insert(part.id);
+            engine.cached.insert(part.id);
+            m_everPrefilled.insert(part.id);
         }
         const Duration span(static_cast<Duration::rep>(static_cast<double>(tokens) / m_tokensPerSecond * 1e6));
         engine.freeAt = std::max(engine.freeAt, m_timers.now()) + span;
@@ -55,22 +55,22 @@
     }
 
     /// Tokens of parts that some engine had read before and another read again.
-    std::int64_t rereadTokens() const
+    std::int64_t recomputedTokens() const
     {
-        return m_reread;
+        return m_recomputed;
     }
 
 private:
     struct Engine {
         Instant freeAt{};
-        std::set<std::uint64_t> kept;
+        std::set<std::uint64_t> cached;
     };
 
     VirtualTimerService &m_timers;
     const double m_tokensPerSecond;
     std::vector<Engine> m_engines;
-    std::set<std::uint64_t> m_everRead;
-    std::int64_t m_reread = 0;
+    std::set<std::uint64_t> m_everPrefilled;
+    std::int64_t m_recomputed = 0;
 };
 
 }
--- a/tests/radishswitch-gateway/platformadapter_test.cpp
+++ b/tests/radishswitch-gateway/platformadapter_test.cpp
@@ -45,7 +45,7 @@
     ASSERT_TRUE(call.ok()) << call.status();
     EXPECT_EQ(call->id.value(), "9c41");
     EXPECT_EQ(call->apiKey, "k1");
-    EXPECT_EQ(call->patience, std::chrono::milliseconds(1500));
+    EXPECT_EQ(call->callerTimeout, std::chrono::milliseconds(1500));
     EXPECT_EQ(call->lastEvent, 12U);
     EXPECT_EQ(call->tokens, (TokenBounds{1460, 80}));
     EXPECT_EQ(call->parts, (std::vector<PromptPart>{{0x5c1e07a2, 800}, {0x91bd3f06, 410}}));
