--- a/src/libradishswitch/serving/allowedregions.h
+++ b/src/libradishswitch/serving/allowedregions.h
@@ -9,19 +9,20 @@
 
 /// The regions in which a call may be served.
 ///
-/// Some prompts must not leave a region, by an organisation's contract or a route's. A call that is bound is sent to no
-/// endpoint elsewhere, whatever that costs it; nor to one whose region is not known.
+/// Some prompts must not leave a region, by the contract of an organisation or the rules of a route. A restricted call
+/// is sent to no endpoint outside its allowed regions, nor to one whose region is not known, even if it fails for that
+/// reason.
 class AllowedRegions
 {
 public:
-    /// No bound.
+    /// No restriction.
     AllowedRegions() = default;
 
-    /// The bounds of a route and of an organisation, each with no region where it has none. Where both have one, both
-    /// hold; together they may leave no region at all.
+    /// The allowed regions of a route and of an organisation; an empty list means no restriction. If both have one,
+    /// only regions in both lists are allowed, which may leave none.
     AllowedRegions(const std::vector<std::string> &ofRoute, const std::vector<std::string> &ofOrganisation);
 
-    /// `region` is empty where it is not known.
+    /// `region` is empty if it is not known.
     bool allows(const std::string &region) const;
 
     bool isRestricted() const
--- a/src/libradishswitch/serving/attemptrules.cpp
+++ b/src/libradishswitch/serving/attemptrules.cpp
@@ -8,9 +8,11 @@
 namespace
 {
 
-/// Connections that fail at once cost a caller little; an endpoint that takes none costs a connect timeout each.
+/// Maximum of attempts in which the call was not sent. A connection that fails at once costs the caller little, but an
+/// endpoint that does not respond costs a connect timeout each.
 constexpr int kMaxUnsentAttempts = 3;
-/// A refused caller comes back when a full endpoint has ended a few runs.
+/// Retry-after for calls that all endpoints refused, in milliseconds. A full endpoint finishes some runs within that
+/// time.
 constexpr std::chrono::milliseconds kRetryAfterRefusal{250};
 
 }
@@ -72,13 +74,14 @@
                                   std::optional<std::chrono::milliseconds> untilBackoffEnds)
 {
     if (!history.mayHaveRun) {
-        return makeFailure(FailureCode::Overloaded, "no endpoint took the call",
+        return makeFailure(FailureCode::Overloaded, "no endpoint accepted the call",
                            untilBackoffEnds.value_or(kRetryAfterRefusal));
     }
     if (end == AttemptEnd::Silent) {
         return withUnknownOutcome(makeFailure(FailureCode::ConnectionSilent, "the endpoint did not answer in time"));
     }
-    return withUnknownOutcome(makeFailure(FailureCode::EndpointFailed, "the endpoint broke off"));
+    return withUnknownOutcome(
+        makeFailure(FailureCode::EndpointFailed, "the endpoint broke off before its answer was complete"));
 }
 
 }
--- a/src/libradishswitch/serving/attemptrules.h
+++ b/src/libradishswitch/serving/attemptrules.h
@@ -11,23 +11,24 @@
 namespace RadishSwitch
 {
 
-/// How one attempt at an endpoint ended without an answer for the caller.
+/// How an attempt at an endpoint ended without an answer for the caller.
 enum class AttemptEnd {
-    /// No byte of the call left this process.
+    /// No byte of the call was sent.
     NotSent,
-    /// The same, since the endpoint or the call was closed to the other after it was chosen.
+    /// No byte of the call was sent, because the endpoint stopped taking calls, or the call may no longer be sent
+    /// there, after the endpoint was chosen.
     Withdrawn,
-    /// The endpoint said that it has not run the call and won't.
+    /// The endpoint replied that it has not run the call and will not run it.
     RefusedByEndpoint,
-    /// The endpoint's address belongs to another endpoint by now, which has not run the call.
+    /// Another endpoint has the address now and replied. It has not run the call.
     WrongEndpoint,
-    /// The connection broke, or what came was no answer to this call.
+    /// The connection broke, or the reply was not an answer to this call.
     Broken,
-    /// Nothing came for too long.
+    /// The endpoint sent nothing within the time limit.
     Silent,
 };
 
-/// Whether a call whose latest attempt failed gets another one, or why not.
+/// Whether a call whose latest attempt failed gets another attempt, or the reason why not.
 enum class FurtherAttempt {
     Granted,
     DeadlineReached,
@@ -37,13 +38,13 @@
     NoEndpoint,
 };
 
-/// What has become of a call so far.
+/// The attempts of a call so far.
 struct AttemptHistory {
     Repetition repetition = Repetition::Never;
     int maximumAttempts = 1;
-    /// Endpoints to which the call was sent.
+    /// Number of attempts in which the call was sent.
     int sent = 0;
-    /// Attempts that ended before a byte was sent.
+    /// Number of attempts that ended before a byte was sent.
     int notSent = 0;
     /// Whether any attempt may have run.
     bool mayHaveRun = false;
@@ -51,21 +52,21 @@
     bool operator==(const AttemptHistory &) const = default;
 };
 
-/// The stable name of an end, such as "not_sent".
+/// The name of an end in logs and metrics, such as "not_sent". Stable.
 std::string_view attemptEndName(AttemptEnd end);
 
-/// The stable name of a verdict, such as "attempts_used".
+/// The name of a verdict in logs, such as "attempts_used". Stable.
 std::string_view furtherAttemptName(FurtherAttempt verdict);
 
-/// Whether another endpoint may be tried after an attempt that ended so. `history` includes that attempt. The
-/// deadline, the retry budget and the endpoints' room are asked besides.
+/// Whether another endpoint may be tried after an attempt that ended this way. `history` includes that attempt. The
+/// deadline, the retry budget and the endpoints' room are checked separately.
 FurtherAttempt furtherAttempt(const AttemptHistory &history, AttemptEnd end);
 
-/// Whether a further attempt draws on the fleet's retry budget: it does when the endpoint before saw the call.
+/// Whether a further attempt takes from the fleet's retry budget. It does if the call was sent to the endpoint before.
 bool isRetry(AttemptEnd end);
 
-/// What the caller is told when no further attempt is made. "Not run" only if no attempt may have run.
-/// `untilBackoffEnds` is how long until the first endpoint takes calls again, where all have asked for backoff.
+/// The failure that the caller gets when no further attempt is made. Its outcome is "not run" only if no attempt may
+/// have run. `untilBackoffEnds` is the time until the first endpoint ends its backoff, if all have asked for backoff.
 absl::Status failureAfterAttempts(const AttemptHistory &history, AttemptEnd end,
                                   std::optional<std::chrono::milliseconds> untilBackoffEnds = std::nullopt);
 
--- a/src/libradishswitch/serving/callallowances.cpp
+++ b/src/libradishswitch/serving/callallowances.cpp
@@ -12,9 +12,11 @@
 namespace
 {
 
-/// Endpoints come under new names and name other limits all day.
+/// Upper bound of the cache, which is cleared when it is full: endpoints appear under new ids and announce new limits
+/// all day.
 constexpr std::size_t kMaxCachedShares = 10'000;
-/// More than any endpoint takes; what is named beyond it can't be counted.
+/// Upper bound of the calls within a time window, more than any endpoint takes. Larger announced limits could overflow
+/// the counters.
 constexpr double kMaxCalls = 1e9;
 
 }
@@ -77,7 +79,7 @@
 
 std::size_t CallAllowances::ownShare(double calls, std::uint64_t endpointHash) const
 {
-    // One that bears less than a call must still get some, or it would never be of use.
+    // A limit of less than one call is raised to one, or the endpoint would get no calls at all.
     const double all = std::floor(std::clamp(calls, 1.0, kMaxCalls));
     if (m_shares.size() >= kMaxCachedShares) {
         m_shares.clear();
--- a/src/libradishswitch/serving/callallowances.h
+++ b/src/libradishswitch/serving/callallowances.h
@@ -17,17 +17,20 @@
 {
 
 struct AllowanceSettings {
-    /// All gateways together may send a cold endpoint so many times what it is said to bear.
+    /// Multiple of its limit that all gateways together may send to a cold endpoint.
     double overshoot = 1;
 };
 
-/// How many calls this process may send to an endpoint that bears few: one that is cold, or says itself what it takes.
+/// Computes this process's share of the calls to an endpoint with a limit: one that is cold, or that has announced a
+/// limit.
 ///
-/// Load pattern: the endpoints of a whole zone come back at once, empty, and therefore look like the best choice to
-/// every gateway at the same moment. One that is sent far more than it bears while it is cold crashes. The bound is on
-/// what all gateways send together, and no one counts for all of them; so each has a fixed part of it, by its weight:
-/// after a loss of power strong instances are back first, and have the callers of all. What whole calls leave over goes
-/// to as many gateways by rendezvous hashing, other ones for each endpoint, without a word between them.
+/// Load pattern: the endpoints of a whole zone come back at once, idle and cold, and look like the best choice to every
+/// gateway at the same moment. A cold endpoint that is sent far more calls than it can take crashes.
+///
+/// The limit applies to all gateways together, but no process counts for all of them. Each gateway therefore has a
+/// fixed share in proportion to its weight: after a power loss strong instances are back first and serve all callers.
+/// Calls left over when the shares are rounded down to whole calls go to that many gateways, selected by rendezvous
+/// hashing for each endpoint, without communication.
 class CallAllowances
 {
 public:
@@ -35,32 +38,32 @@
 
     explicit CallAllowances(std::string self, AllowanceSettings settings = {});
 
-    /// What the endpoints of each pool bear.
+    /// Sets the limits of cold endpoints of each pool.
     void setPools(const std::vector<ServedPool> &pools);
 
-    /// The weights of all gateways that may send calls, by their names. Where this one is not among them it counts as
-    /// one of average weight.
+    /// Sets the weights of all gateways that may send calls, by name. If this gateway is not among them, it is added
+    /// with the average weight.
     void setGateways(const std::map<std::string, double> &weights);
 
-    /// How many gateways may send calls, this one among them.
+    /// Number of gateways that may send calls, including this one.
     std::size_t gateways() const
     {
         return m_others.size() + 1;
     }
 
-    /// How long an endpoint stays cold that has just started; zero where the pool's endpoints are never cold.
+    /// Time for which an endpoint stays cold after its start; zero if the pool's endpoints are never cold.
     Duration coldStartDuration(const PoolId &pool) const;
 
-    /// Calls a second that this process may send to an endpoint, by its hash, while it is cold; kUnbounded where the
-    /// pool has no bound.
+    /// Calls per second that this process may send to a cold endpoint, given by its hash; kUnbounded if the pool has no
+    /// limit.
     std::size_t ownColdCallsPerSecond(const PoolId &pool, std::uint64_t endpointHash) const;
 
-    /// Calls within a span that this process may send to an endpoint, by its hash, where all together may send it
-    /// `callsPerSecond`.
+    /// Calls within `span` that this process may send to an endpoint, given by its hash, that all gateways together may
+    /// send `callsPerSecond`.
     std::size_t ownCalls(double callsPerSecond, Duration span, std::uint64_t endpointHash) const;
 
 private:
-    struct Bearing {
+    struct ColdLimit {
         double callsPerSecond = 0;
         Duration span{};
     };
@@ -69,7 +72,7 @@
     std::size_t computeOwnShare(double all, std::uint64_t endpointHash) const;
     struct Gateway {
         std::uint64_t hash = 0;
-        /// Of the weights of all.
+        /// Fraction of the sum of all weights.
         double share = 1;
     };
 
@@ -79,8 +82,9 @@
     Gateway m_own;
     const AllowanceSettings m_settings;
     std::vector<Gateway> m_others;
-    absl::flat_hash_map<PoolId, Bearing> m_pools;
-    /// Own calls by the calls of all and endpoints' hashes, since hundreds of gateways are compared for each.
+    absl::flat_hash_map<PoolId, ColdLimit> m_pools;
+    /// Cache of this process's calls by the calls of all gateways and the endpoint's hash, since each computation
+    /// compares hundreds of gateways.
     mutable absl::flat_hash_map<std::pair<double, std::uint64_t>, std::size_t> m_shares;
 };
 
--- a/src/libradishswitch/serving/callgate.cpp
+++ b/src/libradishswitch/serving/callgate.cpp
@@ -43,8 +43,8 @@
     noteRegistryChanged();
 }
 
-// Endpoints of a zone that was closed may have become cold since, and their entries tell it seconds later. By then all
-// gateways would have sent them what they did not send for as long.
+// The endpoints of a reopened zone may have become cold while it was closed, and their entries report it only seconds
+// later. Until then all gateways would send them full load at once, so they are treated as cold.
 void CallGate::markCold(const std::vector<EndpointSlot> &slots)
 {
     for (const EndpointSlot slot : slots) {
@@ -52,14 +52,14 @@
     }
 }
 
-// After a loss of power one gateway may have half of a zone's callers, all endpoints are cold, and the others have
-// their parts to spare.
+// After a power loss one gateway may serve half of a zone's callers. All endpoints are cold, and the other gateways
+// have unused shares, so a caller that retries soon is likely to reach one of them.
 absl::Status CallGate::refusalFor(const PlacementQuery &query, const absl::Status &status) const
 {
     if (!m_placement.isLimitedByAllowances(query, m_timers.now())) {
         return status;
     }
-    return makeFailure(FailureCode::Overloaded, "endpoints that bear few calls get no more from this gateway",
+    return makeFailure(FailureCode::Overloaded, "this gateway's share of calls to cold or limited endpoints is used up",
                        m_settings.coldRetryAfter);
 }
 
@@ -67,7 +67,7 @@
 {
     if (shouldShed(query)) {
         return callback(makeFailure(FailureCode::Overloaded,
-                                    "the endpoints of pool " + query.pool.value() + " answer late already",
+                                    "all endpoints of pool " + query.pool.value() + " answer late",
                                     m_settings.overloadRetryAfter));
     }
     const auto queue = m_queues.find(query.pool);
@@ -83,7 +83,8 @@
     if (const std::optional<absl::Status> status = refusalIfAllBackedOff(query)) {
         return callback(*status);
     }
-    // A further attempt has used up time and an endpoint's work already; it doesn't take a place from those that wait.
+    // A further attempt of a call does not wait: it has already used up time and an endpoint's work, and must not take
+    // a place from the calls in the queue.
     if (!query.excluded.empty()) {
         return callback(makeFailure(FailureCode::Overloaded,
                                     "no other endpoint of pool " + query.pool.value() + " has room",
@@ -126,7 +127,7 @@
     QueuedRequest request;
     request.request = query.call;
     request.organisation = query.organisation;
-    // In the queue the higher number goes first.
+    // In the fair queue a higher number is served first, while 0 is the most urgent here.
     request.priority = -query.priority;
     request.cost = query.cost;
     request.deadline = query.deadline;
@@ -186,24 +187,25 @@
     if (it == m_placed.end()) {
         return {};
     }
-    NoticeChanges news;
+    NoticeChanges changes;
     if (std::ranges::find(notice.unreadable, NoticeField::Limit) == notice.unreadable.end()) {
-        news.hasLimitChanged = noteAnnouncedLimit(it->second, notice.callsPerSecond);
+        changes.hasLimitChanged = noteAnnouncedLimit(it->second, notice.callsPerSecond);
     }
     if (notice.isLeaving) {
-        news.isLeavingNow = m_registry.noteLeaving(it->second.slot);
+        changes.isLeavingNow = m_registry.noteLeaving(it->second.slot);
     }
     if (notice.backoff) {
         const EndpointSlot slot = it->second.slot;
-        news.isBackoffLonger = m_placement.noteBackoff(slot, *notice.backoff, m_allowances.gateways(), m_timers.now());
+        changes.isBackoffLonger =
+            m_placement.noteBackoff(slot, *notice.backoff, m_allowances.gateways(), m_timers.now());
     }
-    if (news.isBackoffLonger) {
+    if (changes.isBackoffLonger) {
         refuseWaitingIfAllBackedOff(it->second.pool);
     }
-    return news;
+    return changes;
 }
 
-// Nothing that waits for these endpoints can be in time, and its callers can do better than wait.
+// No call that waits for these endpoints can be served in time, and its caller is better off with an immediate refusal.
 void CallGate::refuseWaitingIfAllBackedOff(PoolId pool)
 {
     const auto queue = m_queues.find(pool);
@@ -292,13 +294,14 @@
         m_placement.noteTaken(placed.slot, placed.at);
     }
     notePressure(placed, end);
-    // A silence that was counted when it was noticed is not counted again.
+    // A failure that was already counted when the endpoint fell silent is not counted again.
     const bool isCounted = end == RunEnd::Failed && placed.isSilent;
     m_placement.noteEnded(placed.slot, isCounted ? RunEnd::Cancelled : end, m_timers.now());
     admitWaiting(placed.pool);
 }
 
-// A refusal by an endpoint says that its queue is full. What failed, or was left, says nothing of its load.
+// A refusal means that the endpoint's queue is full, so it counts as a late answer. Failed and cancelled calls say
+// nothing about the endpoint's load.
 void CallGate::notePressure(const PlacedCall &placed, RunEnd end)
 {
     if (placed.lateAfter == Duration::zero() || end == RunEnd::Failed || end == RunEnd::Cancelled) {
@@ -308,8 +311,9 @@
     m_placement.notePressure(placed.slot, end == RunEnd::Refused || now - placed.at > placed.lateAfter, now);
 }
 
-// The order is the queue's. A call that can't be placed now, because the endpoints that have room are none that it may
-// be sent, goes back into the queue, and those behind it are looked at: a few only, since each is ranked anew.
+// Places waiting calls in the queue's order. A call goes back into the queue if none of the endpoints with room may be
+// sent it, and the calls behind it are tried. At most kMaxSkipped calls are skipped that way, since re-enqueueing ranks
+// each of them anew.
 void CallGate::admitWaiting(const PoolId &pool)
 {
     const auto queue = m_queues.find(pool);
@@ -358,7 +362,7 @@
 {
     m_timer = 0;
     for (auto &[pool, queue] : m_queues) {
-        // An endpoint may have become usable by time alone, when its ejection was over.
+        // An endpoint may have become usable because its ejection has ended, which is not reported by any event.
         admitWaiting(pool);
     }
     scheduleExpiry();
--- a/src/libradishswitch/serving/callgate.h
+++ b/src/libradishswitch/serving/callgate.h
@@ -16,32 +16,35 @@
 
 struct CallGateSettings {
     FairQueueSettings queue;
-    /// How often those that wait are looked at, for answers that have become due.
+    /// Interval at which the queues are checked while calls wait: calls whose deadline can't be met any more are
+    /// refused, and endpoints that have become usable by time alone get calls.
     Duration expiryInterval = std::chrono::milliseconds(50);
-    /// When to come back where a pool has no endpoint at all: a platform's list settles in about that time.
+    /// Retry-after when no endpoint of the pool takes calls: the platform's list of endpoints usually settles within
+    /// that time. Also used when no other endpoint has room for a further attempt.
     std::chrono::milliseconds noEndpointRetryAfter{500};
-    /// When to come back where only this gateway's part of what cold endpoints bear is used up: the next try goes to
-    /// another gateway, which has its own.
+    /// Retry-after when only this gateway's share of the calls to cold endpoints is used up. It is short since the
+    /// retry reaches another gateway, which has a share of its own.
     std::chrono::milliseconds coldRetryAfter{30};
-    /// When to come back where all endpoints answer late: their queues have drained by then.
+    /// Retry-after when a call is shed because all endpoints answer late. Their queues have drained by then.
     std::chrono::milliseconds overloadRetryAfter{250};
-    /// Calls are sent also where endpoints answer late already.
+    /// Calls are never shed because endpoints answer late.
     bool ignoresPressure = false;
     PlacementSettings placement;
     EndpointRegistrySettings registry;
     AllowanceSettings allowances;
 };
 
-/// Lets calls through to endpoints: at once while an endpoint has room, else in the order of a fair queue, and refuses
-/// at once those whose turn would come too late.
+/// Dispatches calls to endpoints: at once while an endpoint has room, otherwise in the order of a fair queue. A call
+/// whose turn would come after its deadline is refused at once.
 ///
-/// Single-threaded. Callbacks come inside `place`, `noteNotice`, `noteEnded` and the timer's calls.
+/// Single-threaded. Callbacks run inside `place`, `cancel`, `noteNotice`, `noteEnded`, `noteRegistryChanged`, the
+/// methods for zones, and timer events.
 class CallGate
 {
 public:
     using Callback = std::function<void(absl::StatusOr<Placement>)>;
 
-    /// `self` is this process's name among the gateways.
+    /// `self` is the name under which this process is listed among the gateways.
     CallGate(TimerService &timers, RandomSource &random, std::string self, std::string ownZone,
              CallGateSettings settings = {});
     ~CallGate();
@@ -64,49 +67,51 @@
         return m_allowances;
     }
 
-    /// Operators' orders: these zones get no new calls.
+    /// Replaces the list of zones that operators have closed. Endpoints in closed zones get no new calls.
     void setClosedZones(const std::vector<std::string> &zones);
     void closeZone(const std::string &zone);
     void openZone(const std::string &zone);
 
-    /// Places a call, now or later. Each call that is placed must end with `noteEnded`. Errors: NoEndpoint, Overloaded,
-    /// both with the time to come back, and nothing was sent.
+    /// Places a call at once or after it has waited in the queue. The caller must end each placed call with
+    /// `noteEnded`. Errors are NoEndpoint and Overloaded, both with a retry-after; in both cases nothing was sent.
     void place(const PlacementQuery &query, Callback callback);
 
-    /// The caller of a call is gone. If the call waits, it gets ConnectionLost.
+    /// The caller of a call has disconnected. A call that still waits ends with ConnectionLost.
     void cancel(const RequestId &call, const PoolId &pool);
 
-    /// The first part of the answer came.
+    /// The first part of the answer has arrived.
     void noteFirstAnswer(PlacementId placement);
 
-    /// Nothing came from the endpoint for too long, and its run is kept all the same. Counts as a failure once: others
-    /// should not be sent to an endpoint that has gone dark for as long as its runs are waited for.
+    /// The endpoint has sent nothing for too long, but the run is kept. This counts as one failure of the endpoint,
+    /// however often it is called: new calls should avoid an endpoint that has stopped answering even while its runs
+    /// are still waited for.
     void noteSilent(PlacementId placement);
 
-    /// What the endpoint said of itself in an answer to the call. An answer without a limit to a call that was sent
-    /// before the limit was heard of does not end it.
+    /// Applies what the endpoint reported about itself in the answer to a call. An answer without a limit does not end
+    /// a limit that was reported after the call had been sent.
     NoticeChanges noteNotice(PlacementId placement, const EndpointNotice &notice);
 
-    /// Whether a call that was placed may still be sent: its endpoint may have said otherwise since.
+    /// Whether a placed call may still be sent. It may not once its endpoint has asked for backoff, is leaving, or was
+    /// closed since.
     bool mayStillBeSent(PlacementId placement) const;
 
-    /// How long until the first endpoint that may be sent such calls may be sent calls again; nothing where any may
-    /// now.
+    /// Time until the first endpoint open to such calls ends its backoff, in milliseconds; nullopt if at least one of
+    /// them is not in backoff.
     std::optional<std::chrono::milliseconds> untilBackoffEnds(const PlacementQuery &query) const;
 
-    /// A limit, or its end, as another gateway has heard it.
+    /// Applies an announced limit, or the end of one, that another gateway has received.
     void setAnnouncedLimit(const EndpointId &endpoint, std::optional<double> callsPerSecond);
 
-    /// Another endpoint answered at the address of the one that was chosen.
+    /// Another endpoint answered at the address of the endpoint that was chosen.
     void noteWrongEndpoint(PlacementId placement);
 
-    /// The endpoint's process has ended, and its entry may stand for seconds.
+    /// The endpoint's process has ended. Its entry in the platform's list may remain for seconds.
     void noteCrashed(const EndpointId &endpoint);
 
-    /// The attempt is over.
+    /// The attempt is over. Waiting calls may take the room that it leaves.
     void noteEnded(PlacementId placement, RunEnd end);
 
-    /// The list of endpoints has changed: some that wait may go on.
+    /// The list of endpoints or of closed zones has changed. Waiting calls are placed where that made room.
     void noteRegistryChanged();
 
     std::size_t waiting() const;
@@ -127,7 +132,7 @@
         PoolId pool;
         std::int64_t prefillTokens = 0;
         Instant at{};
-        /// As in the query.
+        /// See PlacementQuery::lateAfter.
         Duration lateAfter{};
         bool isAnswered = false;
         bool isSilent = false;
--- a/src/libradishswitch/serving/callplacement.cpp
+++ b/src/libradishswitch/serving/callplacement.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// Costs that differ by less than this many seconds count as equal, and chance decides, so that processes do not all
-/// take the same endpoint.
+/// Costs that differ by less than this count as equal, and one of the endpoints is chosen at random, so that the
+/// gateways do not all choose the same one.
 constexpr double kCostToleranceSeconds = 0.002;
 
 double seconds(Duration span)
@@ -21,7 +21,7 @@
     return std::chrono::duration<double>(span).count();
 }
 
-/// Parts that other calls have as well: all but the last, which is the call's own or its session's.
+/// Number of parts that other calls may share: all but the last, which belongs to this call or its session only.
 std::size_t sharedParts(const std::vector<PromptPart> &parts)
 {
     return parts.empty() ? 0 : parts.size() - 1;
@@ -32,11 +32,11 @@
 CallPlacement::Prompt::Prompt(const std::vector<PromptPart> &parts)
     : tokensFrom(parts.size() + 1)
 {
-    chain.reserve(parts.size());
+    prefixHashes.reserve(parts.size());
     std::uint64_t hash = 0;
     for (const PromptPart &part : parts) {
         hash = rendezvousScore(part.id, hash);
-        chain.push_back(hash);
+        prefixHashes.push_back(hash);
     }
     for (std::size_t n = parts.size(); n > 0; --n) {
         tokensFrom[n - 1] = tokensFrom[n] + parts[n - 1].tokens;
@@ -128,7 +128,7 @@
     return best;
 }
 
-// Rendezvous hashing over all candidates: when an endpoint goes, only the prompts that met there move.
+// Rendezvous hashing over all candidates: when an endpoint leaves, only the prompts assigned to it move.
 std::optional<EndpointSlot> CallPlacement::affinityEndpoint(const PlacementQuery &query, SelectionMode mode,
                                                             Instant now) const
 {
@@ -156,7 +156,7 @@
 
 std::int64_t CallPlacement::tokensToPrefill(EndpointSlot slot, const Prompt &prompt) const
 {
-    return prompt.tokensFrom[m_hints.cachedBlocks(slot, prompt.chain)];
+    return prompt.tokensFrom[m_hints.cachedBlocks(slot, prompt.prefixHashes)];
 }
 
 double CallPlacement::cost(EndpointSlot slot, const PlacementQuery &query, const Prompt &prompt,
@@ -165,8 +165,8 @@
     const RegisteredEndpoint &it = m_registry.at(slot);
     std::int64_t toPrefill = tokensToPrefill(slot, prompt);
     const std::int64_t own = prompt.tokensFrom[sharedParts(query.parts)];
-    // Other processes send their calls with this part to its affinity, so that it has read the part also where this
-    // process has not been told so.
+    // Other gateways send calls with this prefix to its affinity endpoint. Its cache is assumed to hold the prefix even
+    // if this process has not sent it there.
     if (affinity == slot) {
         toPrefill = std::min(toPrefill, own);
     }
@@ -193,8 +193,8 @@
                                                             : it->second.tokensPerSecond();
 }
 
-// One slow endpoint is left to placement, which sends calls elsewhere; only where the least pressed one is pressed too
-// is there more work than the pool can do in time.
+// A single slow endpoint needs no shedding, since placement avoids it. Only if even the least loaded endpoint answers
+// late does the pool have more work than it can do in time.
 double CallPlacement::pressure(const PlacementQuery &query, Instant now) const
 {
     std::optional<double> least;
@@ -217,7 +217,7 @@
     RegisteredEndpoint &it = m_registry.at(slot);
     const Prompt prompt(query.parts);
     const std::int64_t prefillTokens = tokensToPrefill(slot, prompt);
-    m_hints.noteDispatched(slot, prompt.chain);
+    m_hints.noteDispatched(slot, prompt.prefixHashes);
     it.inFlight += 1;
     it.pendingPrefillTokens += prefillTokens;
     it.ejection.noteDispatched(now);
@@ -264,7 +264,7 @@
         it.ejection.noteSucceeded(m_settings.ejection, now);
         return;
     case RunEnd::Refused:
-        // The endpoint is full with the work of others: half as much until it takes work again.
+        // The endpoint is full with the calls of other gateways: halve the limit until it accepts calls again.
         it.inFlightLimit = std::max(m_settings.minimumLimit, it.inFlightLimit / 2);
         it.pause.noteRefused(m_settings.pause, now);
         it.ejection.noteNeutral();
@@ -312,8 +312,8 @@
     }
 }
 
-// When most endpoints of a pool fail, the cause is rarely in each of them; leaving them all out would make sure of the
-// outage.
+// When most endpoints of a pool fail, the cause is rarely in the endpoints themselves, and ejecting all of them would
+// turn the fault into an outage.
 void CallPlacement::ejectUnlessTooMany(EndpointSlot slot, Instant now)
 {
     const std::vector<EndpointSlot> &slots = m_registry.pool(m_registry.at(slot).listing.pool);
--- a/src/libradishswitch/serving/callplacement.h
+++ b/src/libradishswitch/serving/callplacement.h
@@ -16,80 +16,85 @@
 
 /// Chooses the endpoint of each call, and learns from how calls go.
 ///
-/// Load pattern: prompts of up to 70,000 tokens among many short ones. A short call behind a long prompt misses its
-/// target, so what counts is the time until the first token: what an endpoint has still to read, and what of this
-/// prompt it has not read yet. Calls that share a part of their prompts meet at the endpoint that rendezvous hashing
-/// gives for that part, in all processes alike and without a word between them, unless it is so busy that reading anew
-/// elsewhere is quicker.
+/// Load pattern: prompts of up to 70,000 tokens among many short ones. A short call queued behind a long prompt misses
+/// its latency target. The cost of an endpoint is therefore the expected time until the first token: the prompt tokens
+/// that it still has to prefill, plus those of this prompt that are not in its prefix cache.
+///
+/// Calls that share a prefix are sent to the endpoint that rendezvous hashing selects for it. All gateways select the
+/// same endpoint without communication. When that endpoint is so busy that recomputing the prefix elsewhere is quicker,
+/// the call goes elsewhere.
 class CallPlacement
 {
 public:
     CallPlacement(EndpointRegistry &registry, const EndpointAdmission &admission, RandomSource &random,
                   std::string ownZone, PlacementSettings settings = {});
 
-    /// The endpoint with the least time to the first answer among those that have room; nothing when none has.
+    /// The endpoint with the shortest expected time to the first answer among those with room; nullopt if none has
+    /// room.
     std::optional<EndpointSlot> choose(const PlacementQuery &query, Instant now);
 
-    /// Whether the pool has any endpoint that may be sent new calls, with room or not.
+    /// Whether the pool has any endpoint that may be sent such calls, with or without room.
     bool hasOpenEndpoint(const PlacementQuery &query, Instant now) const;
 
-    /// How long until the first of the endpoints that may be sent such calls may be sent calls again; nothing where
-    /// any may now.
+    /// Time until the first endpoint open to such calls ends its backoff; nullopt if at least one of them is not in
+    /// backoff.
     std::optional<Duration> untilBackoffEnds(const PlacementQuery &query, Instant now) const;
 
-    /// The part of such calls that is to be turned away, since the endpoints that could take them answer late already.
+    /// The fraction of such calls that should be shed, from 0 to 1, because all endpoints that could take them answer
+    /// late.
     double pressure(const PlacementQuery &query, Instant now) const;
 
-    /// How a call went that tells whether its endpoint is sent too much.
+    /// Records whether an answer was late. Only calls whose latency indicates the endpoint's load are recorded.
     void notePressure(EndpointSlot slot, bool isLate, Instant now);
 
-    /// Whether an endpoint has room that is spared only since it is cold.
+    /// Whether an endpoint has room but this process's share of its limited calls is used up.
     bool isLimitedByAllowances(const PlacementQuery &query, Instant now) const;
 
-    /// A call was sent. Gives the prompt tokens that the endpoint has to read for it.
+    /// Records that a call was sent. Returns the number of its prompt tokens that the endpoint has to prefill.
     std::int64_t noteSent(EndpointSlot slot, const PlacementQuery &query, Instant now);
 
-    /// The first part of the answer came, or the call ended before: `prefillTokens` of its prompt no longer waits
-    /// there.
+    /// The endpoint no longer has these tokens to prefill: the first part of the answer has arrived, or the call ended
+    /// before.
     void notePrefilled(EndpointSlot slot, std::int64_t prefillTokens);
 
-    /// The first part of the answer took `taken`, and `prefillTokens` tokens had to be read for it.
+    /// The first part of the answer arrived after `taken`, for a call with `prefillTokens` tokens to prefill.
     void noteFirstAnswer(EndpointSlot slot, std::int64_t prefillTokens, Duration taken, Instant now);
 
     void noteEnded(EndpointSlot slot, RunEnd end, Instant now);
 
-    /// The endpoint wants nothing for a time, and `gateways` may have been told so. Gives whether that is longer than
-    /// what was known.
+    /// The endpoint has asked this gateway for backoff, and possibly all `gateways` gateways of the fleet. Returns true
+    /// if the backoff ends later than the one known before.
     bool noteBackoff(EndpointSlot slot, Duration backoff, std::size_t gateways, Instant now);
 
-    /// The endpoint has begun to answer a call, or has answered it, that was sent at `sentAt`.
+    /// The endpoint has begun to answer, or has answered, a call that was sent at `sentAt`.
     void noteTaken(EndpointSlot slot, Instant sentAt);
 
-    /// A run failed, or goes on without a word.
+    /// A run failed, or its endpoint has been silent for too long.
     void noteFailed(EndpointSlot slot, Instant now);
 
-    /// The endpoint takes no connections: it is left out at once, as if it had failed often.
+    /// The endpoint has crashed. It is ejected at once, as if it had failed repeatedly.
     void noteCrashed(EndpointSlot slot, Instant now);
 
-    /// Forgets what is known of an endpoint whose slot was freed.
+    /// Discards the prefix cache hints of an endpoint whose slot was freed.
     void forget(EndpointSlot slot);
 
     Duration expectedFirstAnswer(EndpointSlot slot, const PlacementQuery &query, Instant now) const;
 
 private:
-    /// What of a prompt endpoints may have read, worked out once for all of a pool.
+    /// The prefixes of a prompt. It is computed once and compared with the prefix cache of each endpoint of the pool.
     struct Prompt {
         explicit Prompt(const std::vector<PromptPart> &parts);
 
-        /// One hash a part, each over the parts before it too, since a part is of use only behind these.
-        std::vector<std::uint64_t> chain;
-        /// Tokens from each part on; none from the end.
+        /// One hash for each part, over that part and all parts before it: a cached part is of use only if all parts
+        /// before it are cached too.
+        std::vector<std::uint64_t> prefixHashes;
+        /// Number of tokens from the start of each part to the end of the prompt; the last element is 0.
         std::vector<std::int64_t> tokensFrom;
     };
 
     enum class SelectionMode {
         Preferred,
-        /// Also ejected and doubtful ones.
+        /// Ejected and suspect endpoints are candidates too.
         LastResort,
     };
 
--- a/src/libradishswitch/serving/callrequest.h
+++ b/src/libradishswitch/serving/callrequest.h
@@ -11,8 +11,8 @@
 namespace RadishSwitch
 {
 
-/// One part of a prompt. Prompts share parts; what an engine has read of a part it need not read again, if it has read
-/// all parts before it as well.
+/// One part of a prompt. Prompts share parts. An engine need not prefill a part again that is in its prefix cache,
+/// provided that all parts before it are cached as well.
 struct PromptPart {
     std::uint64_t id = 0;
     std::int64_t tokens = 0;
@@ -20,7 +20,7 @@
     bool operator==(const PromptPart &) const = default;
 };
 
-/// What a caller says of the tokens of its call.
+/// The token counts that a caller states for its call.
 struct TokenBounds {
     std::int64_t prompt = 0;
     std::int64_t maximumOutput = 0;
@@ -28,19 +28,19 @@
     bool operator==(const TokenBounds &) const = default;
 };
 
-/// One call of a caller, as far as the serving of it depends on what the caller said.
+/// The properties of a call, as stated by its caller, that decide how it is served.
 struct CallRequest {
-    /// The caller's name for this one try; a retry of the caller has another.
+    /// The caller's id of this try; if the caller retries, the retry has another id.
     RequestId id;
     std::string apiKey;
     std::string host;
-    /// How long the caller will wait from the moment at which it asked.
+    /// Time for which the caller waits, from when it sent the call.
     std::optional<Duration> callerTimeout;
-    /// The last event of a stream that the caller has; it asks for what comes after.
+    /// The last event of a stream that the caller has received. The caller asks for the events after it.
     std::optional<std::uint64_t> lastEvent;
-    /// Nothing for calls without tokens.
+    /// nullopt for calls without tokens.
     std::optional<TokenBounds> tokens;
-    /// In order; the last belongs to this call or to its session.
+    /// The parts of the prompt in order. The last one belongs to this call or its session only.
     std::vector<PromptPart> parts;
 
     bool operator==(const CallRequest &) const = default;
--- a/src/libradishswitch/serving/crashreport.h
+++ b/src/libradishswitch/serving/crashreport.h
@@ -10,10 +10,10 @@
 namespace RadishSwitch
 {
 
-/// One incarnation of an endpoint: one that starts again may keep its id.
+/// One incarnation of an endpoint: an endpoint that restarts may keep its id.
 struct EndpointIncarnation {
     EndpointId endpoint;
-    /// As in its listing.
+    /// Start time, as in its listing.
     std::int64_t startedAtMilliseconds = 0;
 
     auto operator<=>(const EndpointIncarnation &) const = default;
@@ -26,20 +26,20 @@
     }
 };
 
-/// A run that broke off when its endpoint crashed.
+/// A run that broke off because its endpoint crashed.
 struct CrashedRun {
     EndpointIncarnation incarnation;
     RequestFingerprint request;
-    /// Crashes that counted against the request when this run was sent.
+    /// Number of crashes that counted against the request when this run was sent.
     int crashesBefore = 0;
 
     bool operator==(const CrashedRun &) const = default;
 };
 
-/// What one gateway has seen of crashes.
+/// The crashes and answers that one gateway has observed.
 struct CrashReport {
     std::vector<CrashedRun> crashed;
-    /// Requests that others may hold for the cause of crashes, and that an endpoint has run to the end since.
+    /// Requests that an endpoint has completed and that other gateways may still suspect because of earlier crashes.
     std::vector<RequestFingerprint> answered;
 
     bool isEmpty() const
--- a/src/libradishswitch/serving/crashreportformat.cpp
+++ b/src/libradishswitch/serving/crashreportformat.cpp
@@ -22,7 +22,7 @@
     const auto text = json.get<std::string>();
     const std::optional<RequestFingerprint> request = RequestFingerprint::parse(text);
     if (!request) {
-        return makeFailure(FailureCode::ObjectMalformed, "no fingerprint of a request: " + text);
+        return makeFailure(FailureCode::ObjectMalformed, "invalid request fingerprint: " + text);
     }
     return *request;
 }
--- a/src/libradishswitch/serving/crashreportformat.h
+++ b/src/libradishswitch/serving/crashreportformat.h
@@ -9,10 +9,10 @@
 namespace RadishSwitch
 {
 
-/// The report as the store keeps it, in JSON.
+/// The report as it is stored, in JSON.
 std::string writeCrashReport(const CrashReport &report);
 
-/// ObjectMalformed when the text can't be read.
+/// Fails with ObjectMalformed if the text can't be parsed.
 absl::StatusOr<CrashReport> readCrashReport(const std::string &text);
 
 }
--- a/src/libradishswitch/serving/endpointadmission.cpp
+++ b/src/libradishswitch/serving/endpointadmission.cpp
@@ -66,8 +66,8 @@
     return acceptsCalls(m_registry.availability(slot, now)) && !m_registry.at(slot).backoff.isOn(now);
 }
 
-// Sent more than it bears while it is cold, an endpoint crashes, and its calls with it. One that names a limit is in
-// need.
+// A cold endpoint that is sent more calls than it can take crashes, and all its calls fail. An endpoint that announces
+// a limit is overloaded.
 bool EndpointAdmission::isShareUsedUp(EndpointSlot slot, Instant now) const
 {
     const RegisteredEndpoint &it = m_registry.at(slot);
--- a/src/libradishswitch/serving/endpointadmission.h
+++ b/src/libradishswitch/serving/endpointadmission.h
@@ -7,16 +7,16 @@
 namespace RadishSwitch
 {
 
-/// Whether an endpoint may be sent a call, and if not, why.
+/// Whether an endpoint may be sent a call, and if not, the reason.
 enum class Admission {
     Allowed,
-    /// It has failed lately. For a call that finds nothing else.
+    /// It is ejected after recent failures. Allowed only for a call that finds no other endpoint.
     Ejected,
-    /// Its entry has vanished lately. For a call that finds nothing else.
+    /// Its entry was removed recently. Allowed only for a call that finds no other endpoint.
     Suspect,
-    /// It has as many calls of this process as it may have.
+    /// This process has reached its in-flight limit there, or pauses after a refusal.
     Full,
-    /// This process's part of what it takes, cold or by its own word, is used up.
+    /// The endpoint is cold or has announced a limit, and this process's share of its calls is used up.
     ShareUsedUp,
     /// It has asked for backoff.
     BackedOff,
@@ -24,14 +24,15 @@
     Tried,
     /// The call may not go to its region.
     OutsideRegions,
-    /// It leaves, its zone is closed, or it is no more.
+    /// It is leaving, its zone is closed, it was replaced, or it is gone.
     Closed,
 };
 
-/// The one place that says whether an endpoint may be sent a call: first attempts, further ones, streams that go on
-/// elsewhere, and calls that wait all ask here, when an endpoint is chosen and again before the call is sent.
+/// The single place that decides whether an endpoint may be sent a call. First and further attempts, streams that
+/// continue at another endpoint, and waiting calls all use it, both when an endpoint is chosen and again before the
+/// call is sent.
 ///
-/// A rule that only the usual choice knows is passed by the choice that is made when nothing else is left.
+/// If the usual choice had a rule of its own, the last-resort choice, made when nothing else is left, would bypass it.
 class EndpointAdmission
 {
 public:
@@ -39,13 +40,13 @@
 
     Admission admission(EndpointSlot slot, const PlacementQuery &query, Instant now) const;
 
-    /// Whether calls of the kind go there as a rule, room or not.
+    /// Whether the endpoint is usable and not ejected, with or without room.
     bool isHealthy(EndpointSlot slot, const PlacementQuery &query, Instant now) const;
 
-    /// Whether calls of the kind may go there at all, at the latest after a backoff.
+    /// Whether the endpoint may be sent such calls at all, if only after its backoff or as a last resort.
     bool isOpen(EndpointSlot slot, const PlacementQuery &query, Instant now) const;
 
-    /// Whether a call that was placed here may still be sent.
+    /// Whether a call that was placed at the endpoint may still be sent.
     bool mayStillBeSent(EndpointSlot slot, Instant now) const;
 
 private:
--- a/src/libradishswitch/serving/endpointlisting.h
+++ b/src/libradishswitch/serving/endpointlisting.h
@@ -9,23 +9,23 @@
 namespace RadishSwitch
 {
 
-/// One life of an endpoint, as the platform's list has it.
+/// One incarnation of an endpoint, as the platform's list has it.
 struct EndpointListing {
     EndpointId id;
-    /// When this life began, in milliseconds of the endpoint's own clock. An endpoint that starts again keeps its id
-    /// and has a later one. Zero where the platform does not tell.
+    /// Start time of this incarnation, in milliseconds of the endpoint's own clock. An endpoint that restarts keeps its
+    /// id and has a later start time. Zero if the platform does not report it.
     std::int64_t startedAtMilliseconds = 0;
     PoolId pool;
     /// "ip:port".
     std::string address;
     std::string zone;
-    /// Runs that it serves at once.
+    /// Number of runs that the endpoint serves concurrently.
     int slots = 1;
-    /// Version of the store at which the entry was last changed; zero where it is not known.
+    /// Version of the store at which the entry was last changed; zero if it is not known.
     std::uint64_t revision = 0;
-    /// It goes on with what it has and wants no new work.
+    /// The endpoint finishes its runs and wants no new ones.
     bool isLeaving = false;
-    /// How much longer it stays cold, as of when the entry was written; zero where it is warm.
+    /// Time for which the endpoint stays cold, counted from when the entry was written; zero if it is warm.
     Duration coldFor{};
 
     bool operator==(const EndpointListing &) const = default;
--- a/src/libradishswitch/serving/endpointnotice.h
+++ b/src/libradishswitch/serving/endpointnotice.h
@@ -9,37 +9,37 @@
 namespace RadishSwitch
 {
 
-/// What an endpoint can say of itself beside its answer to a call.
+/// The fields in which an endpoint reports about itself in the head of an answer.
 enum class NoticeField {
     Limit,
     Backoff,
     Leaving,
 };
 
-/// The stable name of a field, such as "limit".
+/// The name of a field in logs, such as "limit". Stable.
 std::string_view noticeFieldName(NoticeField field);
 
-/// What an endpoint says of itself in the head of an answer.
+/// What an endpoint reports about itself in the head of an answer.
 struct EndpointNotice {
-    /// Calls a second that the endpoint takes from all callers together, while it is in need; nothing where it names no
-    /// limit.
+    /// Limit that an overloaded endpoint announces, in calls per second from all gateways together; nullopt if it
+    /// announces none.
     std::optional<double> callsPerSecond;
-    /// For how long it wants no calls of this gateway; nothing where it asks for none.
+    /// Time for which the endpoint asks this gateway to send no calls; nullopt if it does not ask for backoff.
     std::optional<Duration> backoff;
-    /// It leaves, and takes no calls that come later.
+    /// The endpoint is leaving and refuses new calls.
     bool isLeaving = false;
-    /// What it says and can't be read. Nothing is concluded from that.
+    /// Fields that could not be parsed. They change nothing.
     std::vector<NoticeField> unreadable;
 
     bool operator==(const EndpointNotice &) const = default;
 };
 
-/// What of a notice is new here.
+/// What a notice changed in this gateway's state.
 struct NoticeChanges {
     bool hasLimitChanged = false;
-    /// It wants none for longer than was known.
+    /// The backoff ends later than was known.
     bool isBackoffLonger = false;
-    /// It was not known to leave.
+    /// It was not known before that the endpoint is leaving.
     bool isLeavingNow = false;
 
     bool operator==(const NoticeChanges &) const = default;
--- a/src/libradishswitch/serving/endpointregistry.cpp
+++ b/src/libradishswitch/serving/endpointregistry.cpp
@@ -38,10 +38,11 @@
         add(listing, now);
         return ListingOutcome::Restarted;
     }
-    // Leaving is final for one life of an endpoint: a late report of an earlier state must not bring it back.
+    // Leaving is final for an incarnation: a delayed report of an earlier state must not make the endpoint usable
+    // again.
     const bool isLeaving = known.listing.isLeaving || listing.isLeaving;
     known.hasLostAddress = known.hasLostAddress && listing.revision <= known.listing.revision;
-    // An entry that is read again has not got any colder since.
+    // An unchanged entry that is read again says nothing new about when the endpoint will be warm.
     if (listing.revision == 0 || listing.revision > known.listing.revision) {
         known.coldUntil = now + listing.coldFor;
     }
@@ -88,10 +89,11 @@
     }
 }
 
-// After a loss of power all endpoints come back under new ids at their old addresses, and the old entries lapse seconds
-// later. Half of all calls went to old ids, were turned away there, and failed where they may be sent but once: 1,120
-// in three seconds. Of entries that name one address the newest is right, but for late news of one that has ended, and
-// entries of other writers: a call that is answered by another endpoint shows these up.
+// After a power loss all endpoints come back under new ids at their old addresses, and their old entries expire only
+// seconds later. Half of all calls went to the old ids and were refused there; those that may be sent only once failed:
+// 1,120 in three seconds. Therefore the newest of the entries for an address is the valid one. Two cases defy that
+// rule: a delayed entry of an endpoint that has ended, and entries written by others, whose revisions do not compare.
+// They are detected when a call is answered by another endpoint (hasLostAddress).
 void EndpointRegistry::updateReplaced(const std::string &address)
 {
     const auto found = m_addresses.find(address);
@@ -111,7 +113,7 @@
     }
 }
 
-// Calls that were under way at the earlier life end in its slot, and count for nothing in the new one.
+// Calls in flight at the earlier incarnation end in its slot and do not count for the new one.
 void EndpointRegistry::endIncarnation(EndpointSlot slot)
 {
     unindexAddress(slot);
@@ -163,8 +165,9 @@
     updateReplaced(gone.listing.address);
 }
 
-// The list's entries are leases: when the store was away for longer than they last, all of them vanish at its return
-// and come back with the endpoints' next heartbeats. Believing the list then would leave a pool without any endpoint.
+// Entries are leases. When the store was down for longer than they last, all of them expire when it comes back, and
+// reappear with the endpoints' next heartbeats. Trusting the list at that moment would leave a pool without any
+// endpoint.
 bool EndpointRegistry::isMassExpiry(const PoolId &pool, Instant now) const
 {
     if (!m_storeBackAt || now - *m_storeBackAt > m_settings.massExpiryAfterOutage) {
--- a/src/libradishswitch/serving/endpointregistry.h
+++ b/src/libradishswitch/serving/endpointregistry.h
@@ -21,141 +21,149 @@
 namespace RadishSwitch
 {
 
-/// Whether an endpoint of the registry may be sent new calls.
+/// Whether an endpoint may be sent new calls.
 enum class EndpointAvailability {
     Usable,
-    /// Its entry has vanished lately, without a word that it leaves. Sent calls only when nothing else is usable.
+    /// Its entry was removed from the list recently, and the endpoint had not reported that it was leaving. It is sent
+    /// calls only if no other endpoint is usable.
     Suspect,
     Leaving,
-    /// Operators keep new calls from its zone.
+    /// Operators have closed its zone to new calls.
     Cordoned,
-    /// Another endpoint has its address by now: it has ended, and its entry has yet to lapse.
+    /// Another endpoint has taken over its address: the endpoint has ended, but its entry has not expired yet.
     Replaced,
     Gone,
 };
 
-/// What an entry of the platform's list said of an endpoint.
+/// How a listing relates to what is known about the endpoint.
 enum class ListingOutcome {
-    /// An endpoint that was not known, or news of the life that is.
+    /// The endpoint is new, or the listing updates its known incarnation.
     Current,
-    /// The endpoint has crashed and started again: the life known until now is gone.
+    /// The endpoint has restarted. Its earlier incarnation has ended.
     Restarted,
-    /// A life that is over. The entry was ignored.
+    /// The listing is of an incarnation that has ended, and was ignored.
     Outdated,
 };
 
 struct EndpointRegistrySettings {
-    /// An endpoint whose entry vanished unannounced stays usable for so long. Entries lapse while the platform's store
-    /// is away, and are back about two seconds after it; one that really leaves goes on serving for at least as long.
+    /// Time for which an endpoint stays a suspect after its entry was removed without announcement. Entries also expire
+    /// while the platform's store is down and reappear about two seconds after it is back. An endpoint that really
+    /// leaves keeps serving for at least this time.
     Duration unlistedGrace = std::chrono::milliseconds(1800);
-    /// The same when at least `massExpiryShare` of a pool vanishes within `massExpiryWindow`, no later than
-    /// `massExpiryAfterOutage` after the store was back: that is a lapse of the list. While the store is sound the same
-    /// is a planned removal of half a pool, whose endpoints serve no longer than they must.
+    /// The same time if the whole list has expired: at least `massExpiryShare` of a pool's entries were removed within
+    /// `massExpiryWindow`, and the store came back less than `massExpiryAfterOutage` before. Without an outage of the
+    /// store, removing that many entries is a planned removal, and its endpoints serve no longer than they must.
     Duration massExpiryGrace = std::chrono::milliseconds(3500);
     Duration massExpiryAfterOutage = std::chrono::seconds(3);
     double massExpiryShare = 0.5;
     Duration massExpiryWindow = std::chrono::milliseconds(500);
-    /// Ids whose latest life is remembered after they are forgotten, so that late news does not bring it back. Some
-    /// 100 bytes each; a day with a release of 400 endpoints each hour has fewer.
+    /// Number of removed endpoints whose last incarnation is remembered, so that a delayed listing does not bring it
+    /// back. Each takes about 100 bytes. A day with hourly releases of 400 endpoints stays below this number.
     std::size_t rememberedIncarnations = 10'000;
-    /// Regions by their availability zones.
+    /// Region of each availability zone.
     std::map<std::string, std::string> zoneRegions;
 };
 
-/// What a cold endpoint bears is told for a second. A call reaches it up to the time later that a new connection takes.
+/// Time window for counting the calls to a cold endpoint, whose limit is given in calls per second. The 150 ms beyond
+/// one second cover the time that a new connection takes, by which a call may arrive later than it was sent.
 inline constexpr Duration kColdCallWindow = std::chrono::milliseconds(1150);
 
-/// Calls to an endpoint that names a limit are counted over this, and the time that a new connection takes: limits
-/// below one call a second are common.
+/// Time window for counting the calls to an endpoint that has announced a limit; limits below one call per second are
+/// common. The margin is added to the window, since a call may arrive later than it was sent by the time that a new
+/// connection takes.
 inline constexpr Duration kAnnouncedLimitWindow = std::chrono::seconds(4);
 inline constexpr Duration kAnnouncedLimitMargin = std::chrono::milliseconds(150);
-/// A limit of which nothing was heard for so long counts no longer: whoever gets no answers would not hear of its end.
+/// An announced limit expires if it was not confirmed for this long. A gateway that gets no answers from the endpoint
+/// would never learn that the limit has ended.
 inline constexpr Duration kAnnouncedLimitTtl = std::chrono::seconds(30);
 
-/// An endpoint that is or lately was in the platform's list, and what this process has under way there.
+/// An endpoint that is, or recently was, in the platform's list, together with this process's calls to it.
 struct RegisteredEndpoint {
     EndpointListing listing;
-    /// Empty where the region of its zone is not known.
+    /// Empty if the region of its zone is not known.
     std::string region;
-    /// By which it takes part in rendezvous hashing.
+    /// Hash of its id for rendezvous hashing.
     std::uint64_t hash = 0;
-    /// The endpoint lives on in another slot.
+    /// The endpoint has restarted, and its current incarnation has another slot.
     bool isEarlierIncarnation = false;
-    /// A call meant for it was answered by another endpoint, which has its address.
+    /// A call for this endpoint was answered by another endpoint at its address.
     bool hasLostAddress = false;
-    /// Another endpoint has its address, by the newer entry or because this one was missed there.
+    /// Another endpoint has its address, either because that endpoint's entry is newer or because `hasLostAddress` is
+    /// set here.
     bool isReplaced = false;
-    /// Set once its entry has vanished: until when it is doubtful rather than gone.
+    /// Set when its entry was removed: until then the endpoint is a suspect, and afterwards it is gone.
     std::optional<Instant> suspectUntil;
     Instant unlistedAt{};
-    /// Its zone is closed to new calls.
+    /// Operators have closed its zone to new calls.
     bool isCordoned = false;
-    /// Until when it is taken for cold; the earliest moment where it is warm.
+    /// Until when it is considered cold; Instant::min() if it is warm.
     Instant coldUntil = Instant::min();
-    /// Calls that this process has sent here while it was cold.
+    /// Calls that this process has sent to the endpoint while it was cold.
     SlidingCount coldCalls{kColdCallWindow};
-    /// Calls a second from all callers together that it says it takes; nothing while it names no limit. As of when.
+    /// Limit that the endpoint has announced, in calls per second from all gateways together; nullopt if it announces
+    /// none. `announcedLimitAt` is when this was last reported.
     std::optional<double> announcedLimit;
     Instant announcedLimitAt = Instant::min();
-    /// Calls that this process has sent here while it named a limit.
+    /// Calls that this process has sent to the endpoint while it announced a limit.
     SlidingCount limitedCalls{kAnnouncedLimitWindow + kAnnouncedLimitMargin};
-    /// While it is on, the endpoint has asked to be sent nothing by this process.
+    /// While the backoff is on, the endpoint has asked this process to send nothing.
     EndpointBackoff backoff;
-    /// After it has turned calls away without a time.
+    /// Pause after the endpoint has refused a call without giving a backoff time.
     RefusalPause pause;
-    /// Calls of this process that are under way here.
+    /// This process's calls in flight at the endpoint.
     int inFlight = 0;
-    /// Calls that this process may have under way here. Falls when the endpoint refuses work, and grows back.
+    /// Maximum of `inFlight`. It is lowered when the endpoint refuses calls, and grows again as it accepts them.
     double inFlightLimit = 1;
-    /// Up to this limit each call that the endpoint takes after a backoff makes room for one more, and beyond it for
+    /// Below this limit each accepted call after a backoff raises `inFlightLimit` by one (slow start); above it by
     /// less.
     double fastGrowthLimit = 0;
-    /// Prompt tokens sent here that the endpoint has yet to read before it answers.
+    /// Prompt tokens of calls sent to the endpoint that it has not prefilled yet.
     std::int64_t pendingPrefillTokens = 0;
-    /// By how much first answers lately came later than expected, in seconds, and when that was noted.
+    /// Moving average of how much later than expected first answers came, in seconds, and when it was last updated.
     double delaySeconds = 0;
     Instant delayNotedAt{};
-    /// By the answers of calls that tell it.
+    /// Overload of the endpoint, measured by the answers whose latency indicates its load.
     AnswerPressure pressure;
     EndpointEjection ejection;
 };
 
-/// The endpoints by the platform's list, each with the work that this process has there.
+/// The endpoints in the platform's list, each with this process's calls to it.
 class EndpointRegistry
 {
 public:
     explicit EndpointRegistry(EndpointRegistrySettings settings = {});
 
-    /// Adds an endpoint or takes in what has changed about it. An endpoint that was born anew has a slot of its own:
-    /// the load, the hints, the ejection and the leaving of its earlier life say nothing of it.
+    /// Adds an endpoint or updates it. An endpoint that has restarted gets a new slot, since the load, cache hints,
+    /// ejection and leaving state of its earlier incarnation do not apply to it.
     ListingOutcome list(const EndpointListing &listing, Instant now);
 
     /// The endpoint's entry was removed from the list.
     void unlist(const EndpointId &endpoint, Instant now);
 
-    /// The store answers again, after an outage in which entries may have lapsed.
+    /// The store is back after an outage, during which entries may have expired.
     void noteStoreBack(Instant now)
     {
         m_storeBackAt = now;
     }
 
-    /// Another endpoint answered at this one's address.
+    /// Another endpoint answered at this endpoint's address.
     void noteWrongEndpoint(EndpointSlot slot);
 
-    /// The endpoint itself has said that it leaves. Final for this life, whatever the list says. Gives whether that is
-    /// news.
+    /// The endpoint has reported that it is leaving. This is final for its incarnation, whatever the list says. Returns
+    /// true if it was not known before.
     bool noteLeaving(EndpointSlot slot);
 
-    /// The whole list, as read anew: what it does not hold was removed. Gives the endpoints that have started again.
+    /// Replaces the whole list: endpoints that are not in it count as removed. Returns the endpoints that have
+    /// restarted.
     std::vector<EndpointId> replaceAll(const std::vector<EndpointListing> &listings, Instant now);
 
     EndpointAvailability availability(EndpointSlot slot, Instant now) const;
 
-    /// Operators' orders, as they stand: these zones get no new calls, and all others may. Gives the endpoints whose
-    /// zones are open again.
+    /// Replaces the list of zones that operators have closed to new calls; all other zones are open. Returns the
+    /// endpoints whose zones were reopened by this.
     std::vector<EndpointSlot> setClosedZones(const std::vector<std::string> &zones);
 
-    /// One more order, or one that was taken back. As above.
+    /// Closes or reopens one zone; `openZone` returns the endpoints whose zone was reopened by this.
     void closeZone(const std::string &zone);
     std::vector<EndpointSlot> openZone(const std::string &zone);
 
@@ -164,7 +172,7 @@
         return m_cordons;
     }
 
-    /// An endpoint that was not taken for cold, or not for as long, is until then.
+    /// Considers the endpoint cold at least until then.
     void extendCold(EndpointSlot slot, Instant until);
 
     bool isCold(EndpointSlot slot, Instant now) const
@@ -174,10 +182,10 @@
 
     std::size_t countCold(Instant now) const;
 
-    /// Endpoints that leave and are not gone yet.
+    /// Number of endpoints that are leaving but not gone yet.
     std::size_t countLeaving(Instant now) const;
 
-    /// The endpoint takes so many calls a second from now on, or names no limit any more.
+    /// Sets the limit that the endpoint has announced; nullopt if it has announced that there is none any more.
     void setAnnouncedLimit(EndpointSlot slot, std::optional<double> callsPerSecond, Instant now);
 
     bool isLimited(EndpointSlot slot, Instant now) const
@@ -189,7 +197,7 @@
 
     std::size_t countBackedOff(Instant now) const;
 
-    /// Slots of all endpoints of a pool that are not forgotten, in order.
+    /// Slots of all endpoints of a pool that were not forgotten, in the order in which they were added.
     const std::vector<EndpointSlot> &pool(const PoolId &pool) const;
 
     RegisteredEndpoint &at(EndpointSlot slot)
@@ -204,10 +212,10 @@
 
     std::optional<EndpointSlot> slotOf(const EndpointId &endpoint) const;
 
-    /// Forgets endpoints that are gone and have nothing under way, and gives the slots that they had.
+    /// Removes endpoints that are gone and have no calls in flight. Returns the slots that they had.
     std::vector<EndpointSlot> forgetGone(Instant now);
 
-    /// Whether any list was ever taken in.
+    /// Whether any listing was ever received, or a list without any.
     bool isKnown() const
     {
         return m_isKnown;
@@ -235,9 +243,9 @@
     std::vector<EndpointSlot> m_freeSlots;
     absl::flat_hash_map<EndpointId, EndpointSlot> m_slots;
     absl::flat_hash_map<PoolId, std::vector<EndpointSlot>> m_pools;
-    /// Endpoints by their addresses, those of earlier lives apart.
+    /// Slots of the endpoints at each address, without those of earlier incarnations.
     absl::flat_hash_map<std::string, std::vector<EndpointSlot>> m_addresses;
-    /// The latest life of each endpoint that was forgotten.
+    /// The last incarnation of each endpoint that was removed.
     absl::flat_hash_map<EndpointId, EndpointListing> m_endedIncarnations;
     std::deque<EndpointId> m_endedInOrder;
     ZoneCordons m_cordons;
--- a/src/libradishswitch/serving/placementquery.h
+++ b/src/libradishswitch/serving/placementquery.h
@@ -6,29 +6,30 @@
 namespace RadishSwitch
 {
 
-/// What decides where a call goes, and when.
+/// The properties of a call that decide when and to which endpoint it is sent.
 struct PlacementQuery {
     RequestId call;
     PoolId pool;
     OrganisationId organisation;
-    /// 0 is the most urgent.
+    /// 0 is the most urgent priority.
     int priority = 0;
-    /// Tokens at most; 1 for a call without tokens.
+    /// Upper bound of the call's tokens; 1 for a call without tokens.
     std::int64_t cost = 1;
     std::vector<PromptPart> parts;
-    /// The last moment at which it still helps to be placed.
+    /// The last moment at which the call may be placed. After it, the answer would come too late for the caller.
     Instant deadline{};
     /// Endpoints that earlier attempts of the call have tried.
     std::vector<EndpointId> excluded;
     AllowedRegions regions;
-    /// An answer that takes longer tells that its endpoint is sent too much; zero for calls whose answers tell nothing
-    /// of the kind, since they take as long as they are large.
+    /// An answer that takes longer counts as late and indicates that its endpoint is overloaded. Zero for calls whose
+    /// latency depends on their size and therefore says nothing about the endpoint's load.
     Duration lateAfter{};
 
     bool operator==(const PlacementQuery &) const = default;
 };
 
-/// Names one placement in the gate that made it. A call has two while it is moved from one endpoint to another.
+/// Identifies one placement within the CallGate that made it. A call has two while it is moved from one endpoint to
+/// another.
 using PlacementId = std::uint64_t;
 
 /// The endpoint chosen for a call.
@@ -37,9 +38,9 @@
     EndpointId endpoint;
     std::string address;
     std::string zone;
-    /// How long the first answer should take, by what is known here.
+    /// Expected time until the first part of the answer, as estimated by this process.
     Duration expectedFirstAnswer{};
-    /// The life of the endpoint that is meant, as in its listing.
+    /// Start time of the endpoint's incarnation that was chosen, as in its listing.
     std::int64_t startedAtMilliseconds = 0;
 
     bool operator==(const Placement &) const = default;
--- a/src/libradishswitch/serving/placementsettings.h
+++ b/src/libradishswitch/serving/placementsettings.h
@@ -8,26 +8,30 @@
 namespace RadishSwitch
 {
 
-/// What placement works with. Times are those that a caller feels.
+/// Settings of the choice of endpoints. All costs are latencies as a caller experiences them.
 struct PlacementSettings {
-    /// Speed at which an engine reads a prompt, in tokens a second: the engines' published 101 a millisecond.
+    /// Prefill speed that is assumed until answers show another one, in tokens per second. The engines' published speed
+    /// is 101 tokens per millisecond.
     double prefillTokensPerSecond = 101'000;
-    /// Added for a full batch, in proportion: from 3.0 to 4.4 ms a step, over the some fifteen steps that a short
-    /// answer's pauses bear.
+    /// Latency added for an endpoint at its in-flight limit, in proportion to its calls in flight. A decoding step
+    /// takes 3.0 ms, and 4.4 ms in a full batch; a short answer waits for about fifteen steps.
     Duration fullBatch = std::chrono::milliseconds(20);
-    /// Added for an endpoint of another availability zone: both ways of the network, and the bytes that cross zones.
+    /// Latency added for an endpoint in another availability zone: the network both ways, and a penalty for traffic
+    /// between zones.
     Duration zoneDistance = std::chrono::milliseconds(4);
-    /// What a token that some endpoint has read already costs beyond its time when it is read again elsewhere.
+    /// Weight of a token of a shared prefix that is not in the endpoint's cache, on top of the time to prefill it. It
+    /// keeps endpoints from recomputing prefixes that another endpoint holds.
     double rereadFactor = 4;
-    /// Delays of first answers are forgotten by half in this time.
+    /// Half-life of the measured delay of first answers.
     Duration delayHalfLife = std::chrono::milliseconds(1500);
-    /// Weight of a new delay in the average.
+    /// Weight of a new delay in the moving average.
     double delayStep = 0.3;
-    /// Calls with a shared part go wherever it is cheapest, and not to the endpoint that all processes name for it.
+    /// Disables prefix affinity: calls with a shared prefix go to the endpoint with the lowest cost, not to the one
+    /// that rendezvous hashing selects.
     bool hasNoAffinity = false;
-    /// The reading speed stays as set, and is not learnt from answers.
+    /// The prefill speed stays as set and is not learnt from answers.
     bool hasFixedSpeed = false;
-    /// Least number of calls that a process may have under way at an endpoint, however often that refuses.
+    /// Lower bound of the in-flight limit that this process sets itself for an endpoint that refuses calls.
     double minimumLimit = 1;
     EndpointBackoffSettings backoff;
     RefusalPauseSettings pause;
--- a/src/libradishswitch/serving/poisondetector.cpp
+++ b/src/libradishswitch/serving/poisondetector.cpp
@@ -22,7 +22,8 @@
     for (const RequestFingerprint &request : report.answered) {
         clear(request);
     }
-    // What ran at the most endpoints that crashed explains the crashes of the rest.
+    // The request with the most crashes is judged first, since it explains the crashes of the requests that ran beside
+    // it.
     std::ranges::stable_sort(suspects, std::greater<>(), [this](const RequestFingerprint &request) {
         return crashes(request);
     });
@@ -156,7 +157,7 @@
         counted += inWindow < m_settings.maxCoincidentCrashes ? 1 : 0;
         ++inWindow;
     }
-    // What a run knew of may have been cleared since.
+    // The run's count may include crashes that were cleared since, so it is limited to those still known.
     return std::max(counted, std::min(sequential, unexplained));
 }
 
@@ -180,7 +181,7 @@
     }
 }
 
-// The order keeps names of requests that are cleared since; they cost nothing when their turn comes.
+// m_order still holds requests that were cleared. Clearing them again has no effect.
 void PoisonDetector::forgetOldest()
 {
     while (m_order.size() > m_settings.maxRequests) {
--- a/src/libradishswitch/serving/poisondetector.h
+++ b/src/libradishswitch/serving/poisondetector.h
@@ -14,55 +14,56 @@
 {
 
 struct PoisonSettings {
-    /// Endpoints that must have crashed under a request before it is taken for the cause.
+    /// Number of endpoints that must have crashed under a request before it is barred.
     int crashThreshold = 3;
-    /// Endpoints that crash within this may have a cause of their own in common, such as a loss of power, which breaks
-    /// off all copies of a frequent request at once. News of one moment is spread over as much.
+    /// Crashes that become known within this time may have a common cause, such as a power loss, which breaks off all
+    /// copies of a frequent request at once. Reports of crashes that happen at the same moment arrive spread over up to
+    /// this time.
     Duration coincidenceWindow = std::chrono::milliseconds(500);
-    /// Crashes of one such moment that count.
+    /// Maximum of crashes within one `coincidenceWindow` that count.
     int maxCoincidentCrashes = 2;
-    /// Requests of which crashes are remembered; the oldest is forgotten first. Some 200 bytes each.
+    /// Maximum of requests whose crashes are remembered; the oldest is forgotten first. Each takes about 200 bytes.
     std::size_t maxRequests = 10'000;
 };
 
-/// Finds the requests that crash each endpoint which runs them.
+/// Finds poison requests: those that crash every endpoint that runs them.
 ///
-/// A crash breaks off all that runs at an endpoint, and nothing tells which of it was the cause. But a request that
-/// crashes every endpoint is there each time and is never answered whole, while what ran beside it is answered
-/// elsewhere, or does not come again. So a request is barred once enough endpoints have crashed under it since it was
-/// last answered, without those whose crashes another barred request explains better.
+/// A crash breaks off all runs at an endpoint, and nothing indicates which of them was the cause. But a poison request
+/// is among them each time and is never answered completely, while the requests that ran beside it are answered by
+/// other endpoints or do not come again. A request is therefore barred once enough endpoints have crashed under it
+/// since it was last answered, not counting crashes that another barred request explains better.
 ///
-/// Endpoints that crash at one moment count little, since a loss of power breaks off all copies of a frequent
-/// request; unless a run was sent when the crashes before it were known already.
+/// Crashes at the same moment count little, since a power loss breaks off all copies of a frequent request, unless a
+/// run was sent when the earlier crashes were already known.
 class PoisonDetector
 {
 public:
     explicit PoisonDetector(PoisonSettings settings = {});
 
-    /// Takes in what a gateway has seen, once for each endpoint and request. `source` names the report. Gives the
-    /// requests that are barred from now on.
+    /// Adds a gateway's report. A crash counts once for each endpoint and request, whoever reports it. `source`
+    /// identifies the report. Returns the requests that are barred from now on.
     std::vector<RequestFingerprint> addReport(const std::string &source, const CrashReport &report, Instant now);
 
-    /// The report counts no longer.
+    /// Removes the crashes that came with a report.
     void forget(const std::string &source);
 
-    /// Another gateway has barred the request, by crashes that may not all be known here.
+    /// Another gateway has barred the request, perhaps because of crashes that are not known here.
     void bar(const RequestFingerprint &request);
 
-    /// That bar is lifted.
+    /// The bar by another gateway is lifted.
     void lift(const RequestFingerprint &request);
 
     bool isBarred(const RequestFingerprint &request) const;
 
-    /// Endpoints known to have crashed under a request since it was last answered.
+    /// Number of endpoints known to have crashed under a request since it was last answered.
     std::size_t crashes(const RequestFingerprint &request) const;
 
-    /// Those of them that count against it.
+    /// The number of those crashes that count against it.
     int countedCrashes(const RequestFingerprint &request) const;
 
     std::size_t barredCount() const;
 
-    /// Whether nothing is held against any request.
+    /// Whether no request is barred or has crashes.
     bool isEmpty() const
     {
         return m_requests.empty();
@@ -73,7 +74,7 @@
         EndpointIncarnation incarnation;
         Instant knownAt{};
         std::string source;
-        /// As in the report.
+        /// Crashes that counted against the request when the run was sent, as in the report.
         int crashesBefore = 0;
     };
 
@@ -97,9 +98,9 @@
 
     const PoisonSettings m_settings;
     absl::flat_hash_map<RequestFingerprint, Request> m_requests;
-    /// In the order in which they were first held for a cause.
+    /// In the order in which they were first reported or barred.
     std::deque<RequestFingerprint> m_order;
-    /// What ran at each endpoint that crashed.
+    /// The requests that ran at each endpoint that crashed.
     absl::flat_hash_map<EndpointIncarnation, std::vector<RequestFingerprint>> m_ranAt;
 };
 
--- a/src/libradishswitch/serving/requestfingerprint.cpp
+++ b/src/libradishswitch/serving/requestfingerprint.cpp
@@ -34,7 +34,7 @@
     const std::unique_ptr<XXH3_state_t, decltype(&XXH3_freeState)> state(XXH3_createState(), &XXH3_freeState);
     XXH3_128bits_reset(state.get());
     for (const std::string_view part : {method, target, caller, body}) {
-        // The length keeps apart what would be the same when joined.
+        // The length separates the parts: otherwise moving bytes from one part to the next would give the same hash.
         const std::uint64_t length = part.size();
         XXH3_128bits_update(state.get(), &length, sizeof length);
         XXH3_128bits_update(state.get(), part.data(), part.size());
--- a/src/libradishswitch/serving/requestfingerprint.h
+++ b/src/libradishswitch/serving/requestfingerprint.h
@@ -12,16 +12,16 @@
 namespace RadishSwitch
 {
 
-/// Names a request by what it asks and for whom, so that its repeats are known as the same at every gateway: the call's
-/// id is new with each of them.
+/// Identifies a request by its content and its caller, so that all gateways recognise a repeated request. The call's id
+/// can't serve for that, since each repeat has a new one.
 class RequestFingerprint
 {
 public:
-    /// `caller` is the organisation, or the key where that is not known.
+    /// `caller` is the organisation, or the API key if the organisation is not known.
     static RequestFingerprint of(std::string_view method, std::string_view target, std::string_view caller,
                                  std::string_view body);
 
-    /// Reads what `toString` gives.
+    /// Parses the output of `toString`.
     static std::optional<RequestFingerprint> parse(std::string_view text);
 
     /// 32 hexadecimal digits.
--- a/src/libradishswitch/serving/zonecordons.h
+++ b/src/libradishswitch/serving/zonecordons.h
@@ -8,20 +8,21 @@
 namespace RadishSwitch
 {
 
-/// The availability zones whose endpoints get no new calls, by operators' orders. Calls under way there are finished.
+/// The availability zones that operators have closed: their endpoints get no new calls, and calls in flight there are
+/// finished.
 ///
-/// An order holds from when it is first heard of until it is known to be taken back. A whole list is right about all of
-/// them: a taking back that was missed does not close a zone for ever, nor does an order that was missed leave one
-/// open. A zone may be named that has no endpoints, or all of them may be.
+/// An order to close a zone holds from when it is received until it is known to be withdrawn. A full list replaces all
+/// of them, so that neither a missed withdrawal keeps a zone closed for ever nor a missed order keeps one open. An
+/// order may name a zone without endpoints, and all zones may be closed.
 class ZoneCordons
 {
 public:
-    /// All orders in force, as they stood at one moment.
+    /// Replaces the closed zones with the complete list at one moment.
     void replaceAll(const std::vector<std::string> &zones);
 
     void close(const std::string &zone);
 
-    /// The order was taken back.
+    /// The order to close the zone was withdrawn.
     void open(const std::string &zone);
 
     bool isClosed(const std::string &zone) const
@@ -29,7 +30,7 @@
         return m_closed.contains(zone);
     }
 
-    /// Whether the orders were listed at all. Before that nobody knows which zones are open.
+    /// Whether a complete list was received. Before that it is not known which zones are open.
     bool isKnown() const
     {
         return m_isKnown;
--- a/tests/core/serving/allowedregions_test.cpp
+++ b/tests/core/serving/allowedregions_test.cpp
@@ -14,35 +14,36 @@
 {
 };
 
-TEST_F(AllowedRegionsTest, neitherNamesRegions_allAreAllowed)
+TEST_F(AllowedRegionsTest, regions_bothListsEmpty_allAreAllowed)
 {
     EXPECT_TRUE(AllowedRegions({}, {}).allows("east"));
     EXPECT_TRUE(AllowedRegions({}, {}).allows(""));
 }
 
-TEST_F(AllowedRegionsTest, bothNameRegions_onlyWhatBothNameIsAllowed)
+TEST_F(AllowedRegionsTest, regions_bothListsSet_onlyCommonOnesAreAllowed)
 {
-    const AllowedRegions bound({"east", "west"}, {"west", "south"});
-    EXPECT_TRUE(bound.allows("west"));
-    EXPECT_FALSE(bound.allows("east"));
-    EXPECT_FALSE(bound.allows("south"));
+    const AllowedRegions allowed({"east", "west"}, {"west", "south"});
+    EXPECT_TRUE(allowed.allows("west"));
+    EXPECT_FALSE(allowed.allows("east"));
+    EXPECT_FALSE(allowed.allows("south"));
 }
 
-TEST_F(AllowedRegionsTest, boundsWithoutACommonRegion_allowNone)
+TEST_F(AllowedRegionsTest, regions_withoutCommonOne_noneIsAllowed)
 {
-    const AllowedRegions bound({"east"}, {"west"});
-    EXPECT_FALSE(bound.allows("east"));
-    EXPECT_FALSE(bound.allows("west"));
+    const AllowedRegions allowed({"east"}, {"west"});
+    EXPECT_FALSE(allowed.allows("east"));
+    EXPECT_FALSE(allowed.allows("west"));
 }
 
-// Guards against a prompt that leaves its region by way of an endpoint in a zone that nobody told the region of.
-TEST_F(AllowedRegionsTest, unknownRegion_isNotAllowed)
+// Guards against a prompt that leaves its region through an endpoint in a zone whose region is not configured.
+TEST_F(AllowedRegionsTest, unknownRegion_restrictedCall_isNotAllowed)
 {
     EXPECT_FALSE(AllowedRegions({"east"}, {}).allows(""));
     EXPECT_FALSE(AllowedRegions({}, {"east"}).allows(""));
 }
 
-/// Two regions with an endpoint each; the one in the east has room for one call.
+/// Two regions with one endpoint each, and an endpoint without a known region. The eastern endpoint has room for one
+/// call.
 class RestrictedCallsTest : public testing::Test
 {
 protected:
@@ -72,7 +73,7 @@
         gate.registry().list(listing, timers.now());
     }
 
-    /// Where a call of that bound goes; nothing while it waits; "refused" if it is.
+    /// Places a call. Returns the id of its endpoint, "refused", or nullopt while the call waits.
     std::optional<std::string> place(const AllowedRegions &regions)
     {
         PlacementQuery query;
@@ -99,7 +100,7 @@
 };
 
 // Guards against a prompt that leaves its region because the endpoints there are full, cordoned or gone.
-TEST_F(RestrictedCallsTest, boundCalls_goNowhereElse)
+TEST_F(RestrictedCallsTest, restrictedCall_regionFullOrClosed_goesNowhereElse)
 {
     const AllowedRegions east({"east"}, {});
     EXPECT_EQ(place(east), "eastern");
@@ -107,20 +108,20 @@
     EXPECT_EQ(place(east), "refused");
 }
 
-// Guards against callers that wait for an endpoint that cannot be there.
-TEST_F(RestrictedCallsTest, boundsThatLeaveNothing_areRefusedAtOnce)
+// Guards against calls that wait for an endpoint that can't exist.
+TEST_F(RestrictedCallsTest, restrictedCall_noEndpointAllowed_isRefusedAtOnce)
 {
     EXPECT_EQ(place(AllowedRegions({"east"}, {"west"})), "refused");
     EXPECT_EQ(place(AllowedRegions({"moon"}, {})), "refused");
 }
 
-// Guards against free endpoints that stand idle, because the call at the head of the line may not be sent there.
-TEST_F(RestrictedCallsTest, boundCallAtTheHeadOfTheLine_doesNotHoldUpOthers)
+// Guards against idle endpoints because the call at the head of the queue may not be sent to them.
+TEST_F(RestrictedCallsTest, restrictedCall_atHeadOfQueue_doesNotBlockOthers)
 {
     const AllowedRegions east({"east"}, {});
     EXPECT_EQ(place(east), "eastern");
     EXPECT_EQ(place(east), std::nullopt);
-    EXPECT_EQ(place(AllowedRegions()), std::nullopt) << "behind the one that waits";
+    EXPECT_EQ(place(AllowedRegions()), std::nullopt) << "queued behind the waiting call";
     timers.advance(std::chrono::milliseconds(60));
     EXPECT_EQ(placedElsewhere, 1);
 }
--- a/tests/core/serving/attemptrules_test.cpp
+++ b/tests/core/serving/attemptrules_test.cpp
@@ -19,16 +19,17 @@
     }
 };
 
-// An order was sent and the connection broke. It may have run, and must neither be sent again nor be told "not run".
-TEST_F(AttemptRulesTest, orderThatMayHaveRun_isNotTriedAgainAndUnknown)
+// Guards against a non-idempotent call that runs twice, or is reported as not run. The call was sent and its connection
+// broke, so it may have run.
+TEST_F(AttemptRulesTest, nonIdempotentCall_mayHaveRun_notRetriedAndOutcomeUnknown)
 {
-    const AttemptHistory order = history(Repetition::Never, 1, 5, true);
-    EXPECT_EQ(furtherAttempt(order, AttemptEnd::Broken), FurtherAttempt::NotIdempotent);
-    EXPECT_EQ(furtherAttempt(order, AttemptEnd::Silent), FurtherAttempt::NotIdempotent);
-    EXPECT_EQ(outcomeOf(failureAfterAttempts(order, AttemptEnd::Broken)), RunOutcome::Unknown);
+    const AttemptHistory nonIdempotentCall = history(Repetition::Never, 1, 5, true);
+    EXPECT_EQ(furtherAttempt(nonIdempotentCall, AttemptEnd::Broken), FurtherAttempt::NotIdempotent);
+    EXPECT_EQ(furtherAttempt(nonIdempotentCall, AttemptEnd::Silent), FurtherAttempt::NotIdempotent);
+    EXPECT_EQ(outcomeOf(failureAfterAttempts(nonIdempotentCall, AttemptEnd::Broken)), RunOutcome::Unknown);
 }
 
-TEST_F(AttemptRulesTest, orderRefusedByEndpoint_isTriedAgainWithinItsAttempts)
+TEST_F(AttemptRulesTest, nonIdempotentCall_refusedByEndpoint_retriedWithinItsAttempts)
 {
     EXPECT_EQ(furtherAttempt(history(Repetition::Never, 1, 2, false), AttemptEnd::RefusedByEndpoint),
               FurtherAttempt::Granted);
@@ -39,8 +40,8 @@
     EXPECT_TRUE(retryAfterOf(failure).has_value());
 }
 
-// All endpoints have asked for backoff: a caller that comes back sooner is refused again.
-TEST_F(AttemptRulesTest, callThatNobodyTookWhileAllBackedOff_isToldWhenTheFirstIsBack)
+// Guards against a caller that retries before the first endpoint ends its backoff, and is refused again.
+TEST_F(AttemptRulesTest, call_allEndpointsInBackoff_getsRetryAfterOfFirstToReturn)
 {
     const AttemptHistory call = history(Repetition::Never, 1, 1, false);
     const absl::Status failure =
@@ -49,14 +50,14 @@
     EXPECT_EQ(outcomeOf(failure), RunOutcome::NotRun);
 }
 
-// The second endpoint refuses a call that the first may have run. "Not run" would be true of the second alone.
-TEST_F(AttemptRulesTest, refusalBehindALostAnswer_staysUnknown)
+// Guards against reporting "not run" for a call that was refused by the second endpoint but may have run at the first.
+TEST_F(AttemptRulesTest, refusal_afterLostAnswer_outcomeStaysUnknown)
 {
     const AttemptHistory call = history(Repetition::Always, 2, 2, true);
     EXPECT_EQ(outcomeOf(failureAfterAttempts(call, AttemptEnd::RefusedByEndpoint)), RunOutcome::Unknown);
 }
 
-TEST_F(AttemptRulesTest, repeatableCalls_goElsewhereUntilTheirAttemptsAreUsed)
+TEST_F(AttemptRulesTest, idempotentCalls_attemptBroken_retriedUntilAttemptsAreUsed)
 {
     for (const Repetition repetition : {Repetition::Always, Repetition::ByResuming}) {
         EXPECT_EQ(furtherAttempt(history(repetition, 1, 2, true), AttemptEnd::Broken), FurtherAttempt::Granted);
@@ -64,7 +65,7 @@
     }
 }
 
-TEST_F(AttemptRulesTest, attemptThatWasNotSent_costsNoRetryAndIsBounded)
+TEST_F(AttemptRulesTest, unsentAttempt_repeated_takesNoRetryBudgetAndIsBounded)
 {
     EXPECT_FALSE(isRetry(AttemptEnd::NotSent));
     EXPECT_FALSE(isRetry(AttemptEnd::Withdrawn));
--- a/tests/core/serving/backedoffendpoint_test.cpp
+++ b/tests/core/serving/backedoffendpoint_test.cpp
@@ -12,27 +12,27 @@
 
 using namespace RadishSwitch;
 
-/// Endpoints that turn calls away and say for how long they want none, at fleets of several sizes, in virtual time.
+/// Endpoints that refuse calls and ask for backoff, with fleets of several sizes, in virtual time.
 class BackedOffEndpointTest : public testing::TestWithParam<int>
 {
 protected:
     using Milliseconds = std::chrono::milliseconds;
 
     static constexpr int kEndpoints = 12;
-    static constexpr Duration kTravel = Milliseconds(3);
-    static constexpr Duration kWork = Milliseconds(20);
-    static constexpr Duration kOnTheirWay = Milliseconds(500);
-    static constexpr std::size_t kMost = 2;
+    static constexpr Duration kNetworkDelay = Milliseconds(3);
+    static constexpr Duration kServiceTime = Milliseconds(20);
+    static constexpr Duration kInFlightTime = Milliseconds(500);
+    static constexpr std::size_t kMaxCallsDuringBackoff = 2;
 
-    struct Demand {
+    struct BackoffRequest {
         Instant at{};
         Duration backoff{};
     };
 
-    /// What one gateway and one endpoint have seen of one another.
-    struct Pair {
+    /// The calls of one gateway that reached one endpoint, and the endpoint's answers that asked for backoff.
+    struct GatewayEndpointLog {
         std::vector<Instant> arrivals;
-        std::vector<Demand> demands;
+        std::vector<BackoffRequest> backoffRequests;
     };
 
     BackedOffEndpointTest()
@@ -77,7 +77,7 @@
         return query;
     }
 
-    void play(Duration span, int perSecond)
+    void runLoad(Duration span, int perSecond)
     {
         const Instant end = timers.now() + span;
         while (timers.now() < end) {
@@ -97,7 +97,7 @@
                 ++refused;
                 return;
             }
-            timers.after(kTravel, [this, gateway, it = *placement] {
+            timers.after(kNetworkDelay, [this, gateway, it = *placement] {
                 arrive(gateway, it);
             });
         });
@@ -105,14 +105,14 @@
 
     void arrive(std::size_t gateway, const Placement &placement)
     {
-        Pair &pair = pairs[{gateway, placement.endpoint}];
+        GatewayEndpointLog &pair = logs[{gateway, placement.endpoint}];
         pair.arrivals.push_back(timers.now());
         EndpointNotice notice;
         if (backedOff.contains(placement.endpoint)) {
             notice.backoff = backoff;
-            pair.demands.push_back({timers.now(), backoff});
+            pair.backoffRequests.push_back({timers.now(), backoff});
         }
-        timers.after(notice.backoff ? kTravel : kWork, [this, gateway, placement, notice] {
+        timers.after(notice.backoff ? kNetworkDelay : kServiceTime, [this, gateway, placement, notice] {
             answer(gateway, placement, notice);
         });
     }
@@ -121,17 +121,18 @@
     {
         gates[gateway]->noteNotice(placement.id, notice);
         gates[gateway]->noteEnded(placement.id, notice.backoff ? RunEnd::Refused : RunEnd::Ok);
-        (notice.backoff ? turnedAway : answered) += 1;
+        (notice.backoff ? refusedByEndpoint : answered) += 1;
     }
 
-    /// The most calls of one gateway that reached an endpoint while a demand held, but for those on their way.
-    std::size_t mostWhileBackedOff() const
+    /// The most calls of one gateway that reached an endpoint during one backoff, without those that were already in
+    /// flight.
+    std::size_t mostCallsDuringBackoff() const
     {
         std::size_t most = 0;
-        for (const auto &[names, pair] : pairs) {
-            for (const Demand &demand : pair.demands) {
-                const auto first = std::ranges::lower_bound(pair.arrivals, demand.at + kOnTheirWay);
-                const auto last = std::ranges::lower_bound(pair.arrivals, demand.at + demand.backoff);
+        for (const auto &[names, pair] : logs) {
+            for (const BackoffRequest &request : pair.backoffRequests) {
+                const auto first = std::ranges::lower_bound(pair.arrivals, request.at + kInFlightTime);
+                const auto last = std::ranges::lower_bound(pair.arrivals, request.at + request.backoff);
                 most = std::max(most, static_cast<std::size_t>(std::max(last - first, std::ptrdiff_t(0))));
             }
         }
@@ -141,13 +142,13 @@
     std::size_t arrivalsAt(const EndpointId &endpoint) const
     {
         std::size_t sum = 0;
-        for (const auto &[names, pair] : pairs) {
+        for (const auto &[names, pair] : logs) {
             sum += names.second == endpoint ? pair.arrivals.size() : 0;
         }
         return sum;
     }
 
-    /// A placement of the first gateway at an endpoint; calls elsewhere end at once.
+    /// Returns a placement of the first gateway at this endpoint. Its calls to other endpoints end at once.
     Placement placeAt(const EndpointId &endpoint)
     {
         Placement at;
@@ -163,7 +164,7 @@
         return at;
     }
 
-    void demand(const EndpointId &endpoint, Duration span)
+    void askForBackoff(const EndpointId &endpoint, Duration span)
     {
         const Placement placement = placeAt(endpoint);
         EndpointNotice notice;
@@ -172,7 +173,7 @@
         gates.front()->noteEnded(placement.id, RunEnd::Refused);
     }
 
-    /// Whether the first gateway sends any of many calls there.
+    /// Whether the first gateway sends any of many calls to the endpoint.
     bool isSentCalls(const EndpointId &endpoint)
     {
         bool isSent = false;
@@ -196,36 +197,37 @@
     std::vector<std::unique_ptr<CallGate>> gates;
     std::set<EndpointId> backedOff;
     Duration backoff = std::chrono::seconds(3);
-    std::map<std::pair<std::size_t, EndpointId>, Pair> pairs;
+    std::map<std::pair<std::size_t, EndpointId>, GatewayEndpointLog> logs;
     int sent = 0;
     int refused = 0;
     int answered = 0;
-    int turnedAway = 0;
+    int refusedByEndpoint = 0;
 
 private:
     int m_calls = 0;
 };
 
-// Load: a third of the endpoints turns away all calls for nine seconds. Their refusals come at once, so that they look
-// idle, and got two to five times the calls of the others.
-TEST_P(BackedOffEndpointTest, endpointsThatAskForBackoff_areSentNothingMeanwhile)
+// Load: a third of the endpoints refuse all calls for nine seconds and ask for backoff. Their refusals come at once, so
+// that these endpoints look idle. Without backoff they got two to five times the calls of the others.
+TEST_P(BackedOffEndpointTest, endpointsInBackoff_underLoad_areSentAlmostNothing)
 {
     backedOff = {id(0), id(3), id(5), id(9)};
-    play(std::chrono::seconds(9), 400);
+    runLoad(std::chrono::seconds(9), 400);
     timers.advance(std::chrono::seconds(1));
-    EXPECT_LE(mostWhileBackedOff(), kMost);
-    EXPECT_EQ(answered + turnedAway + refused, sent);
-    // A call or two for each gateway, endpoint and backoff, and never more than a third of the endpoints would get.
+    EXPECT_LE(mostCallsDuringBackoff(), kMaxCallsDuringBackoff);
+    EXPECT_EQ(answered + refusedByEndpoint + refused, sent);
+    // At most two calls for each gateway, endpoint and backoff, and never more than the third of all calls that these
+    // endpoints would get without backoff.
     const int backoffs = static_cast<int>(std::chrono::seconds(9) / backoff);
     const int most = 2 * GetParam() * static_cast<int>(backedOff.size()) * backoffs;
-    EXPECT_LE(turnedAway, std::min(most, sent / 3));
+    EXPECT_LE(refusedByEndpoint, std::min(most, sent / 3));
 }
 
-// Guards against a short demand that ends a longer one, and an answer without one that ends any.
-TEST_P(BackedOffEndpointTest, longestOfSeveralDemands_holds)
+// Guards against a short backoff that ends a longer one, and against an answer without backoff that ends any.
+TEST_P(BackedOffEndpointTest, backoff_askedForSeveralTimes_longestHolds)
 {
     const Placement before = placeAt(id(2));
-    demand(id(2), std::chrono::seconds(3));
+    askForBackoff(id(2), std::chrono::seconds(3));
     timers.advance(Milliseconds(100));
     EndpointNotice shorter;
     shorter.backoff = Milliseconds(200);
@@ -238,11 +240,12 @@
     EXPECT_TRUE(isSentCalls(id(2)));
 }
 
-// Guards against calls that wait for their deadline while nothing can take them, and callers told nothing of use.
-TEST_P(BackedOffEndpointTest, callWhileAllBackedOff_isRefusedAtOnceWithTheTimeOfTheFirst)
+// Guards against calls that wait until their deadline while no endpoint can take them, and against refusals without a
+// useful retry-after.
+TEST_P(BackedOffEndpointTest, call_allEndpointsInBackoff_refusedAtOnceWithRetryAfterOfFirst)
 {
     for (int n = 0; n < kEndpoints; ++n) {
-        demand(id(n), std::chrono::seconds(n == 4 ? 2 : 5));
+        askForBackoff(id(n), std::chrono::seconds(n == 4 ? 2 : 5));
     }
     std::optional<absl::Status> status;
     gates.front()->place(query(), [&](const absl::StatusOr<Placement> &placement) {
@@ -254,25 +257,27 @@
     EXPECT_LE(retryAfterOf(*status), Milliseconds(3100));
 }
 
-// Guards against a later life that pays for what the one before it asked for, and the other way round.
-TEST_P(BackedOffEndpointTest, demand_bindsOneLife)
+// Guards against a restarted endpoint that is held to the backoff of its earlier incarnation, whether that was asked
+// for before or after the restart.
+TEST_P(BackedOffEndpointTest, backoff_endpointRestarted_appliesToOneIncarnation)
 {
-    const Placement ofEarlier = placeAt(id(2));
-    demand(id(2), std::chrono::seconds(60));
-    EndpointListing reborn = listing(2);
-    reborn.startedAtMilliseconds = 2'000;
-    reborn.revision = 2;
-    gates.front()->registry().list(reborn, timers.now());
+    const Placement ofEarlierIncarnation = placeAt(id(2));
+    askForBackoff(id(2), std::chrono::seconds(60));
+    EndpointListing restarted = listing(2);
+    restarted.startedAtMilliseconds = 2'000;
+    restarted.revision = 2;
+    gates.front()->registry().list(restarted, timers.now());
     EXPECT_TRUE(isSentCalls(id(2)));
     EndpointNotice late;
     late.backoff = std::chrono::seconds(60);
-    gates.front()->noteNotice(ofEarlier.id, late);
-    gates.front()->noteEnded(ofEarlier.id, RunEnd::Refused);
+    gates.front()->noteNotice(ofEarlierIncarnation.id, late);
+    gates.front()->noteEnded(ofEarlierIncarnation.id, RunEnd::Refused);
     EXPECT_TRUE(isSentCalls(id(2)));
 }
 
-// Guards against the call that asks a limit of nothing again while the endpoint wants none.
-TEST_P(BackedOffEndpointTest, limitOfNothing_isNotAskedAgainDuringABackoff)
+// An endpoint with an announced limit of zero is probed with a call now and then. Guards against such a probe during a
+// backoff.
+TEST_P(BackedOffEndpointTest, limitOfZero_duringBackoff_isNotProbed)
 {
     const Placement placement = placeAt(id(2));
     EndpointNotice notice;
@@ -286,19 +291,21 @@
     }
 }
 
-// Guards against a call that was placed before the demand came, and is sent once its connection stands.
-TEST_P(BackedOffEndpointTest, callPlacedBeforeADemand_mayNotBeSentAfterIt)
+// Guards against a call that was placed before the endpoint asked for backoff, and is sent once its connection is
+// established.
+TEST_P(BackedOffEndpointTest, call_placedBeforeBackoff_mayNotBeSentAfterIt)
 {
     const Placement before = placeAt(id(2));
     EXPECT_TRUE(gates.front()->mayStillBeSent(before.id));
-    demand(id(2), std::chrono::seconds(3));
+    askForBackoff(id(2), std::chrono::seconds(3));
     EXPECT_FALSE(gates.front()->mayStillBeSent(before.id));
     gates.front()->noteEnded(before.id, RunEnd::Cancelled);
     EXPECT_FALSE(gates.front()->mayStillBeSent(before.id));
 }
 
-// Guards against calls that waited for room when the demand came, and are sent there once there is room.
-TEST_P(BackedOffEndpointTest, callsThatWait_keepToADemand)
+// Guards against calls that were waiting for room when the endpoint asked for backoff, and are sent there once it has
+// room.
+TEST_P(BackedOffEndpointTest, waitingCalls_endpointAsksForBackoff_areNotSentThere)
 {
     std::vector<Placement> placed;
     const auto note = [&](const absl::StatusOr<Placement> &placement) {
@@ -313,9 +320,9 @@
     EndpointNotice notice;
     notice.backoff = std::chrono::seconds(3);
     for (std::size_t n = 0; n < before; ++n) {
-        const bool isResting = placed[n].endpoint == id(2);
-        gates.front()->noteNotice(placed[n].id, isResting ? notice : EndpointNotice());
-        if (isResting) {
+        const bool isInBackoff = placed[n].endpoint == id(2);
+        gates.front()->noteNotice(placed[n].id, isInBackoff ? notice : EndpointNotice());
+        if (isInBackoff) {
             gates.front()->noteEnded(placed[n].id, RunEnd::Refused);
         }
     }
--- a/tests/core/serving/backoffload_test.cpp
+++ b/tests/core/serving/backoffload_test.cpp
@@ -12,30 +12,29 @@
 
 using namespace RadishSwitch;
 
-/// Pools at their worst load, whose endpoints ask for backoff when they are full, replayed in virtual time over the
-/// real decision classes of fleets of several sizes. Other ways of deciding, played beside ours, show what each is
-/// worth.
+/// Overloaded pools whose endpoints ask for backoff when they are full, simulated in virtual time with the production
+/// placement code and fleets of several sizes. The same load with other settings serves as a baseline.
 class BackoffLoadTest : public testing::TestWithParam<int>
 {
 protected:
     using Milliseconds = std::chrono::milliseconds;
 
-    static constexpr Duration kTravel = Milliseconds(3);
-    static constexpr Duration kWork = Milliseconds(320);
-    /// Runs at once at an endpoint, and calls that wait there.
+    static constexpr Duration kNetworkDelay = Milliseconds(3);
+    static constexpr Duration kServiceTime = Milliseconds(320);
+    /// Concurrent runs of an endpoint, and calls that may wait there.
     static constexpr int kSlots = 16;
     static constexpr int kQueue = 8;
-    static constexpr double kTakenPerSecond = kSlots * 1000.0 / 320;
+    static constexpr double kCallsPerSecond = kSlots * 1000.0 / 320;
     static constexpr Duration kBackoff = std::chrono::seconds(2);
 
     struct Load {
         int endpoints = 12;
-        /// Calls a second, as a part of what all endpoints can take.
+        /// Calls per second, as a fraction of the capacity of all endpoints.
         double offered = 0.5;
-        /// So many times that at first, for so long.
+        /// Factor on `offered` during the first `burstFor`.
         double burst = 1;
         Duration burstFor = Milliseconds(0);
-        /// Endpoints that turn away all calls, for so long.
+        /// Number of endpoints that refuse all calls during the first `brokenFor`.
         int broken = 0;
         Duration brokenFor = Milliseconds(0);
         Duration length = std::chrono::seconds(16);
@@ -44,11 +43,11 @@
     struct Outcome {
         int sent = 0;
         int answered = 0;
-        int turnedAway = 0;
+        int refusedByEndpoint = 0;
         int refused = 0;
-        /// By seconds.
+        /// Counts for each second of the simulation.
         std::map<int, int> answeredAt;
-        std::map<int, int> turnedAwayAt;
+        std::map<int, int> refusedByEndpointAt;
 
         double share() const
         {
@@ -62,9 +61,9 @@
         bool isBroken = false;
     };
 
-    /// One play of a load.
-    struct World {
-        World(const Load &load, const CallGateSettings &settings, int gateways)
+    /// One simulation of a load.
+    struct Simulation {
+        Simulation(const Load &load, const CallGateSettings &settings, int gateways)
             : load(load)
             , endpoints(static_cast<std::size_t>(load.endpoints))
         {
@@ -93,7 +92,7 @@
             return it;
         }
 
-        Outcome play()
+        Outcome runLoad()
         {
             for (int n = 0; n < load.broken; ++n) {
                 endpoints[static_cast<std::size_t>(n)].isBroken = true;
@@ -104,7 +103,7 @@
                 }
             });
             const Instant begin = timers.now();
-            const double usual = load.offered * load.endpoints * kTakenPerSecond;
+            const double usual = load.offered * load.endpoints * kCallsPerSecond;
             while (timers.now() - begin < load.length) {
                 const double rate = usual * (timers.now() - begin < load.burstFor ? load.burst : 1);
                 double calls = rate / 1000;
@@ -123,10 +122,10 @@
             return static_cast<int>(std::chrono::duration_cast<std::chrono::seconds>(timers.now() - Instant()).count());
         }
 
-        /// Callers that are refused come back once, when they were told to.
-        void comeBack(bool mayComeBack, std::chrono::milliseconds wait)
+        /// A refused caller retries once, after the retry-after that it was given.
+        void retryOnce(bool mayRetry, std::chrono::milliseconds wait)
         {
-            if (mayComeBack) {
+            if (mayRetry) {
                 timers.after(wait, [this] {
                     send(false);
                 });
@@ -140,35 +139,35 @@
             return query;
         }
 
-        void send(bool mayComeBack)
+        void send(bool mayRetry)
         {
             CallGate &gate = *gates[random.below(gates.size())];
             PlacementQuery query = anyCall();
             query.call = RequestId("call-" + std::to_string(++outcome.sent));
             query.deadline = timers.now() + Milliseconds(400);
-            gate.place(query, [this, &gate, mayComeBack](const absl::StatusOr<Placement> &placement) {
+            gate.place(query, [this, &gate, mayRetry](const absl::StatusOr<Placement> &placement) {
                 if (!placement.ok()) {
                     ++outcome.refused;
-                    return comeBack(mayComeBack, retryAfterOf(placement.status()).value_or(Milliseconds(250)));
+                    return retryOnce(mayRetry, retryAfterOf(placement.status()).value_or(Milliseconds(250)));
                 }
-                timers.after(kTravel, [this, &gate, mayComeBack, it = *placement] {
-                    arrive(gate, it, mayComeBack);
+                timers.after(kNetworkDelay, [this, &gate, mayRetry, it = *placement] {
+                    arrive(gate, it, mayRetry);
                 });
             });
         }
 
-        void arrive(CallGate &gate, const Placement &placement, bool mayComeBack)
+        void arrive(CallGate &gate, const Placement &placement, bool mayRetry)
         {
             Endpoint &at = endpoints[static_cast<std::size_t>(std::stoi(placement.endpoint.value()))];
             if (at.isBroken || static_cast<int>(at.queue.size()) >= kQueue) {
-                ++outcome.turnedAwayAt[second()];
-                timers.after(kTravel, [this, &gate, placement, mayComeBack] {
-                    ++outcome.turnedAway;
+                ++outcome.refusedByEndpointAt[second()];
+                timers.after(kNetworkDelay, [this, &gate, placement, mayRetry] {
+                    ++outcome.refusedByEndpoint;
                     EndpointNotice notice;
                     notice.backoff = kBackoff;
                     gate.noteNotice(placement.id, notice);
                     gate.noteEnded(placement.id, RunEnd::Refused);
-                    comeBack(mayComeBack, gate.untilBackoffEnds(anyCall()).value_or(Milliseconds(250)));
+                    retryOnce(mayRetry, gate.untilBackoffEnds(anyCall()).value_or(Milliseconds(250)));
                 });
                 return;
             }
@@ -185,7 +184,7 @@
         {
             while (at.running < kSlots && !at.queue.empty()) {
                 ++at.running;
-                timers.after(kWork, [this, &at, done = std::move(at.queue.front())] {
+                timers.after(kServiceTime, [this, &at, done = std::move(at.queue.front())] {
                     --at.running;
                     done();
                     begin(at);
@@ -202,25 +201,26 @@
         Outcome outcome;
     };
 
-    static Outcome play(const Load &load, const CallGateSettings &settings = {})
+    static Outcome runLoad(const Load &load, const CallGateSettings &settings = {})
     {
-        return World(load, settings, GetParam()).play();
+        return Simulation(load, settings, GetParam()).runLoad();
     }
 
-    static std::string story(const char *name, const Outcome &it)
+    static std::string describe(const char *name, const Outcome &it)
     {
         std::string text = std::string(name) + " at " + std::to_string(GetParam()) + " gateways: sent "
-            + std::to_string(it.sent) + ", answered " + std::to_string(it.answered) + ", turned away "
-            + std::to_string(it.turnedAway) + ", refused " + std::to_string(it.refused) + "; turned away by second:";
+            + std::to_string(it.sent) + ", answered " + std::to_string(it.answered) + ", refused by endpoints "
+            + std::to_string(it.refusedByEndpoint) + ", refused " + std::to_string(it.refused)
+            + "; by endpoints in each second:";
         for (int n = 0; n < 16; ++n) {
-            const auto at = it.turnedAwayAt.find(n);
-            text += " " + std::to_string(at == it.turnedAwayAt.end() ? 0 : at->second);
+            const auto at = it.refusedByEndpointAt.find(n);
+            text += " " + std::to_string(at == it.refusedByEndpointAt.end() ? 0 : at->second);
         }
         return text;
     }
 
-    /// All come back when the backoff is over, with as many calls as before.
-    static CallGateSettings returningAtOnce()
+    /// Settings by which all gateways return when the backoff is over, with as many calls in flight as before.
+    static CallGateSettings withoutSpreadReturns()
     {
         CallGateSettings settings;
         settings.placement.backoff.spreadShare = 0;
@@ -228,13 +228,13 @@
         return settings;
     }
 
-    /// Calls that endpoints turned away from one second up to another.
-    static int turnedAway(const Outcome &it, int from, int to)
+    /// Calls that endpoints refused between two seconds of the simulation.
+    static int refusedByEndpoint(const Outcome &it, int from, int to)
     {
         int sum = 0;
         for (int second = from; second < to; ++second) {
-            const auto at = it.turnedAwayAt.find(second);
-            sum += at == it.turnedAwayAt.end() ? 0 : at->second;
+            const auto at = it.refusedByEndpointAt.find(second);
+            sum += at == it.refusedByEndpointAt.end() ? 0 : at->second;
         }
         return sum;
     }
@@ -250,59 +250,60 @@
     }
 };
 
-// Load: a burst makes all endpoints ask for backoff, and gateways and callers come back when it is over. The returns
-// turn away fewer calls than the burst did.
-TEST_P(BackoffLoadTest, burstAfterWhichAllBackOff_doesNotFollowItself)
+// Load: a burst makes all endpoints ask for backoff, and gateways and callers return when it is over. Their return must
+// cause fewer refusals than the burst did.
+TEST_P(BackoffLoadTest, burst_allEndpointsAskForBackoff_isNotRepeatedByReturns)
 {
     for (const int endpoints : {2, 4, 12}) {
-        const Outcome ours = play(burst(endpoints, 0.5));
-        EXPECT_LE(turnedAway(ours, 2, 16), turnedAway(ours, 0, 2)) << story("returns", ours);
+        const Outcome ours = runLoad(burst(endpoints, 0.5));
+        EXPECT_LE(refusedByEndpoint(ours, 2, 16), refusedByEndpoint(ours, 0, 2)) << describe("returns", ours);
     }
 }
 
-// Load: the same while the pool has little to spare. Where all come back at once, the storm follows itself every two
-// seconds.
-TEST_P(BackoffLoadTest, returnsOfManyGateways_areSpreadAndGrow)
+// Load: the same burst while the pool has little spare capacity. Where all gateways return at once, the overload
+// repeats every two seconds.
+TEST_P(BackoffLoadTest, returnsOfManyGateways_littleSpareCapacity_areSpreadAndGrow)
 {
     for (const int endpoints : {2, 4, 12}) {
-        const Outcome ours = play(burst(endpoints, 0.8));
-        const Outcome atOnce = play(burst(endpoints, 0.8), returningAtOnce());
-        EXPECT_LE(turnedAway(ours, 2, 16), turnedAway(atOnce, 2, 16)) << story("returns", ours);
-        // At hundreds of gateways each has too few calls for a storm of its own.
+        const Outcome ours = runLoad(burst(endpoints, 0.8));
+        const Outcome atOnce = runLoad(burst(endpoints, 0.8), withoutSpreadReturns());
+        EXPECT_LE(refusedByEndpoint(ours, 2, 16), refusedByEndpoint(atOnce, 2, 16)) << describe("returns", ours);
+        // With hundreds of gateways each has too few calls in flight to cause an overload on its return.
         if (GetParam() <= 30) {
-            EXPECT_LE(2 * turnedAway(ours, 2, 16), turnedAway(atOnce, 2, 16)) << story("at once", atOnce);
+            EXPECT_LE(2 * refusedByEndpoint(ours, 2, 16), refusedByEndpoint(atOnce, 2, 16))
+                << describe("at once", atOnce);
         }
     }
 }
 
-// Load: a quarter of the endpoints turns away all calls, and the others could take five of six that are offered. What
-// they shed must not make them ask for backoff down to the last.
-TEST_P(BackoffLoadTest, endpointsThatTakeOverTooMuch_goOnAnswering)
+// Load: a quarter of the endpoints refuse all calls, and the others have capacity for five sixths of the load. The
+// calls that they refuse must not put all of them into backoff.
+TEST_P(BackoffLoadTest, remainingEndpoints_overloadedByFailover_keepAnswering)
 {
     Load load;
     load.offered = 0.9;
     load.broken = 3;
     load.brokenFor = std::chrono::seconds(9);
-    const Outcome ours = play(load);
-    const double left = kTakenPerSecond * ((load.endpoints - load.broken) * 9 + load.endpoints * load.offered * 7);
-    EXPECT_GE(ours.answered, left * 0.75) << story("taken over", ours);
+    const Outcome ours = runLoad(load);
+    const double left = kCallsPerSecond * ((load.endpoints - load.broken) * 9 + load.endpoints * load.offered * 7);
+    EXPECT_GE(ours.answered, left * 0.75) << describe("taken over", ours);
     for (int second = 1; second < 16; ++second) {
         EXPECT_GT(ours.answeredAt.contains(second) ? ours.answeredAt.at(second) : 0, 0) << second;
     }
 }
 
-// Load: a third of the endpoints turns away all calls, and the others have room. Nobody is refused but at an endpoint
-// that a gateway had not heard of yet.
-TEST_P(BackoffLoadTest, endpointsWithRoom_takeTheCallsOfThoseThatAreBackedOff)
+// Load: a third of the endpoints refuse all calls, and the others have room. Calls are refused only by endpoints whose
+// backoff the gateway does not know of yet.
+TEST_P(BackoffLoadTest, endpointsWithRoom_othersInBackoff_takeTheirCalls)
 {
     Load load;
     load.offered = 0.4;
     load.broken = 4;
     load.brokenFor = std::chrono::seconds(9);
-    const Outcome ours = play(load);
-    EXPECT_LE(ours.refused, ours.sent / 20) << story("room", ours);
+    const Outcome ours = runLoad(load);
+    EXPECT_LE(ours.refused, ours.sent / 20) << describe("room", ours);
     const int demands = GetParam() * load.broken * 5;
-    EXPECT_LE(ours.turnedAway, std::min(2 * demands, ours.sent / 3)) << story("room", ours);
+    EXPECT_LE(ours.refusedByEndpoint, std::min(2 * demands, ours.sent / 3)) << describe("room", ours);
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleets, BackoffLoadTest, testing::Values(1, 4, 30, 300));
--- a/tests/core/serving/callallowances_test.cpp
+++ b/tests/core/serving/callallowances_test.cpp
@@ -9,11 +9,11 @@
 
 using namespace RadishSwitch;
 
-/// Gateways that all know of one another, and what each of them may send to one cold endpoint.
+/// Gateways that all know each other, and their shares of the calls to one cold endpoint.
 class CallAllowancesTest : public testing::Test
 {
 protected:
-    /// Every fifth of them is as strong as five others.
+    /// Weights of the gateways: every fifth is as strong as five others.
     static std::map<std::string, double> gateways(int count)
     {
         std::map<std::string, double> weights;
@@ -47,19 +47,20 @@
     }
 };
 
-// Guards against an endpoint that crashes again while it warms up: many gateways find it empty at the same moment.
-TEST_F(CallAllowancesTest, anyFleet_allTogether_sendNoMoreThanAnEndpointBears)
+// Guards against a cold endpoint that crashes because many gateways find it idle at the same moment and together exceed
+// its limit.
+TEST_F(CallAllowancesTest, anyFleet_sumOverAllGateways_equalsLimitOfEndpoint)
 {
     for (const int count : {1, 2, 5, 18, 29, 103, 410}) {
-        for (const double bearing : {1.0, 3.0, 18.0, 40.0}) {
-            const std::size_t sum = sumOverAll(count, bearing, "endpoint-7");
-            EXPECT_EQ(sum, bearing) << count << " gateways";
+        for (const double limit : {1.0, 3.0, 18.0, 40.0}) {
+            const std::size_t sum = sumOverAll(count, limit, "endpoint-7");
+            EXPECT_EQ(sum, limit) << count << " gateways";
         }
     }
 }
 
-// Guards against a number that no counter holds, named by an endpoint.
-TEST_F(CallAllowancesTest, hugeRates_areBounded)
+// Guards against an overflow by a huge announced limit.
+TEST_F(CallAllowancesTest, hugeRates_announced_areBounded)
 {
     const CallAllowances it = allowances("gateway-0", gateways(3), 1);
     for (const double rate : {1e12, 1e300, std::numeric_limits<double>::max()}) {
@@ -69,26 +70,27 @@
     }
 }
 
-// Guards against an endpoint that stays cold and idle, because it bears less than one call a second.
-TEST_F(CallAllowancesTest, endpointThatBearsAlmostNothing_stillGetsCalls)
+// Guards against an endpoint that never gets calls, and so stays cold, because its limit is less than one call per
+// second.
+TEST_F(CallAllowancesTest, endpoint_limitBelowOneCall_stillGetsCalls)
 {
     EXPECT_EQ(sumOverAll(29, 0.2, "endpoint-7"), 1U);
 }
 
-// Guards against calls refused after a loss of power: strong instances are back first, and have the callers of all.
-TEST_F(CallAllowancesTest, strongGateway_hasThePartOfItsWeight)
+// Guards against refusals after a power loss, when strong instances are back first and serve all callers.
+TEST_F(CallAllowancesTest, strongGateway_amongWeakOnes_hasShareOfItsWeight)
 {
     const std::map<std::string, double> weights{{"strong", 0.5}, {"weak-1", 0.1}, {"weak-2", 0.1}, {"weak-3", 0.1}};
     EXPECT_GE(allowances("strong", weights, 18).ownColdCallsPerSecond(PoolId("llm"), 7), 11U);
     EXPECT_GE(allowances("weak-1", weights, 18).ownColdCallsPerSecond(PoolId("llm"), 7), 2U);
 }
 
-TEST_F(CallAllowancesTest, gatewayThatIsNotListedYet_countsAsAnAverageOne)
+TEST_F(CallAllowancesTest, gateway_notListedYet_countsWithAverageWeight)
 {
     EXPECT_LE(allowances("new", {{"a", 0.1}, {"b", 0.1}}, 18).ownColdCallsPerSecond(PoolId("llm"), 7), 6U);
 }
 
-TEST_F(CallAllowancesTest, poolWithoutABound_isNotBounded)
+TEST_F(CallAllowancesTest, pool_withoutLimit_isUnbounded)
 {
     EXPECT_EQ(allowances("gateway-0", gateways(3), 0).ownColdCallsPerSecond(PoolId("llm"), 1),
               CallAllowances::kUnbounded);
@@ -107,9 +109,9 @@
     SlidingCount count{std::chrono::seconds(1)};
 };
 
-// Guards against twice the bound within one second, half of it at the end of one span and half at the start of the
-// next.
-TEST_F(SlidingCountTest, anySpan_holdsNoMoreThanTheBound)
+// Guards against twice the bound within one second, when half of the calls fall at the end of one window and half at
+// the start of the next.
+TEST_F(SlidingCountTest, anySpan_callsAtItsEdges_holdsNoMoreThanBound)
 {
     for (int n = 0; n < 3; ++n) {
         EXPECT_TRUE(count.isBelow(3, at(900 + n)));
@@ -121,7 +123,7 @@
     EXPECT_FALSE(count.isBelow(3, at(1900)));
 }
 
-TEST_F(SlidingCountTest, boundOfZero_isNeverFree)
+TEST_F(SlidingCountTest, boundOfZero_isNeverBelow)
 {
     EXPECT_FALSE(count.isBelow(0, at(0)));
 }
--- a/tests/core/serving/coldzone_test.cpp
+++ b/tests/core/serving/coldzone_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace RadishSwitch;
 
-/// The endpoints of one zone come back cold while the gateways of the fleet are loaded, replayed in virtual time.
+/// The endpoints of one zone come back cold while the gateways are under load, simulated in virtual time.
 class ColdZoneTest : public testing::Test
 {
 protected:
@@ -19,14 +19,14 @@
 
     static constexpr int kGateways = 29;
     static constexpr int kEngines = 18;
-    static constexpr int kEnginesOfZone = 6;
-    static constexpr double kBearing = 18;
+    static constexpr int kEnginesInZone = 6;
+    static constexpr double kColdCallsPerSecond = 18;
 
-    explicit ColdZoneTest(double bearing = kBearing)
+    explicit ColdZoneTest(double coldCallsPerSecond = kColdCallsPerSecond)
     {
         ServedPool pool;
         pool.name = PoolId("llm");
-        pool.coldCallsPerSecond = bearing;
+        pool.coldCallsPerSecond = coldCallsPerSecond;
         pool.coldStart = std::chrono::seconds(3);
         std::map<std::string, double> weights;
         for (int n = 0; n < kGateways; ++n) {
@@ -65,13 +65,13 @@
         return it;
     }
 
-    static bool isOfClosedZone(const EndpointId &endpoint)
+    static bool isInZone(const EndpointId &endpoint)
     {
         return zone(std::stoi(endpoint.value().substr(7))) == "a";
     }
 
-    /// Plays calls, `perSecond` over all gateways, a third of them of one subject.
-    void play(Duration span, int perSecond)
+    /// Sends `perSecond` calls over all gateways; a third of them share one prefix.
+    void runLoad(Duration span, int perSecond)
     {
         const Instant end = timers.now() + span;
         while (timers.now() < end) {
@@ -108,14 +108,14 @@
 
     void noteArrival(const EndpointId &endpoint)
     {
-        arrivalsInZone += isOfClosedZone(endpoint) ? 1 : 0;
-        std::deque<Instant> &lately = arrivals[endpoint.value()];
-        while (!lately.empty() && timers.now() - lately.front() >= std::chrono::seconds(1)) {
-            lately.pop_front();
+        arrivalsInZone += isInZone(endpoint) ? 1 : 0;
+        std::deque<Instant> &lastSecond = arrivals[endpoint.value()];
+        while (!lastSecond.empty() && timers.now() - lastSecond.front() >= std::chrono::seconds(1)) {
+            lastSecond.pop_front();
         }
-        lately.push_back(timers.now());
-        if (isOfClosedZone(endpoint)) {
-            mostInOneSecond = std::max(mostInOneSecond, lately.size());
+        lastSecond.push_back(timers.now());
+        if (isInZone(endpoint)) {
+            mostInOneSecond = std::max(mostInOneSecond, lastSecond.size());
         }
     }
 
@@ -144,7 +144,7 @@
     std::size_t mostInOneSecond = 0;
 };
 
-/// The same fleet where a cold endpoint bears whatever it is sent.
+/// The same fleet where cold endpoints have no limit.
 class UnboundedColdZoneTest : public ColdZoneTest
 {
 protected:
@@ -154,45 +154,45 @@
     }
 };
 
-// Guards against endpoints that crash as their zone is opened again, empty, under a surge.
-TEST_F(ColdZoneTest, zoneOpenedUnderSurge_sendsNoEndpointMoreThanItBears)
+// Guards against endpoints that crash because their zone is reopened under a surge while they are cold.
+TEST_F(ColdZoneTest, coldZone_reopenedUnderSurge_noEndpointExceedsItsLimit)
 {
     closeZone();
-    play(std::chrono::seconds(3), 400);
+    runLoad(std::chrono::seconds(3), 400);
     mostInOneSecond = 0;
     arrivalsInZone = 0;
     openZone();
-    play(std::chrono::seconds(3), 400);
-    EXPECT_LE(mostInOneSecond, kBearing);
-    // Neither is the zone left idle: it takes a part of the work from the first second on.
-    EXPECT_GE(arrivalsInZone, 3 * kEnginesOfZone * kBearing / 3);
+    runLoad(std::chrono::seconds(3), 400);
+    EXPECT_LE(mostInOneSecond, kColdCallsPerSecond);
+    // The zone is not left idle either: it serves calls from the first second on.
+    EXPECT_GE(arrivalsInZone, 3 * kEnginesInZone * kColdCallsPerSecond / 3);
     EXPECT_EQ(refused, 0);
 }
 
-// The baseline: without the bound the same surge sends an endpoint more than it bears.
-TEST_F(UnboundedColdZoneTest, zoneOpenedUnderSurge_overrunsAnEndpoint)
+// The baseline: without the limit the same surge sends an endpoint more calls than it can take.
+TEST_F(UnboundedColdZoneTest, coldZone_reopenedUnderSurgeWithoutLimit_endpointIsOverloaded)
 {
     closeZone();
-    play(std::chrono::seconds(3), 400);
+    runLoad(std::chrono::seconds(3), 400);
     mostInOneSecond = 0;
     openZone();
-    play(std::chrono::seconds(3), 400);
-    EXPECT_GT(mostInOneSecond, 1.5 * kBearing);
+    runLoad(std::chrono::seconds(3), 400);
+    EXPECT_GT(mostInOneSecond, 1.5 * kColdCallsPerSecond);
 }
 
-// Guards against calls into a zone that operators have closed, also where all others are full.
-TEST_F(ColdZoneTest, closedZone_getsNothing)
+// Guards against calls to a closed zone, even if all other endpoints are full.
+TEST_F(ColdZoneTest, closedZone_underLoad_getsNoCalls)
 {
-    play(std::chrono::seconds(1), 400);
+    runLoad(std::chrono::seconds(1), 400);
     EXPECT_GT(arrivalsInZone, 0);
     closeZone();
     arrivalsInZone = 0;
-    play(std::chrono::seconds(2), 900);
+    runLoad(std::chrono::seconds(2), 900);
     EXPECT_EQ(arrivalsInZone, 0);
 }
 
-// Guards against callers that wait for nothing, when every zone is closed.
-TEST_F(ColdZoneTest, allZonesClosed_callsAreRefusedAtOnce)
+// Guards against calls that wait in vain when every zone is closed.
+TEST_F(ColdZoneTest, call_allZonesClosed_isRefusedAtOnce)
 {
     for (const auto &gate : gates) {
         gate->setClosedZones({"a", "b", "c"});
@@ -201,10 +201,10 @@
     EXPECT_EQ(refused, 1);
 }
 
-// Guards against an endpoint that has turned cold again and is sent as much as before.
-TEST_F(ColdZoneTest, endpointThatTurnsCold_getsWhatItBears)
+// Guards against an endpoint that has become cold again and is sent as many calls as before.
+TEST_F(ColdZoneTest, endpoint_turnsCold_isHeldToItsLimit)
 {
-    play(std::chrono::seconds(2), 400);
+    runLoad(std::chrono::seconds(2), 400);
     for (const auto &gate : gates) {
         for (int engine = 0; engine < kEngines; engine += 3) {
             EndpointListing it = listing(engine);
@@ -215,12 +215,12 @@
     }
     arrivals.clear();
     mostInOneSecond = 0;
-    play(std::chrono::seconds(2), 400);
-    EXPECT_LE(mostInOneSecond, kBearing);
+    runLoad(std::chrono::seconds(2), 400);
+    EXPECT_LE(mostInOneSecond, kColdCallsPerSecond);
 }
 
-// Guards against callers told to come back in seconds, when another gateway would take them at once.
-TEST_F(ColdZoneTest, gatewayWithoutPartsLeft_tellsCallersToComeBackAtOnce)
+// Guards against a retry-after of seconds where a retry at another gateway would succeed at once.
+TEST_F(ColdZoneTest, gateway_shareUsedUp_refusesWithShortRetryAfter)
 {
     closeZone();
     openZone();
--- a/tests/core/serving/crashedendpoint_test.cpp
+++ b/tests/core/serving/crashedendpoint_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace RadishSwitch;
 
-/// Endpoints that have crashed, and whose entries stand until they lapse.
+/// Endpoints that have crashed, and whose entries remain until they expire.
 class CrashedEndpointTest : public testing::Test
 {
 protected:
@@ -30,7 +30,7 @@
         return EndpointId("engine-" + std::to_string(n));
     }
 
-    /// How many of a hundred calls are placed at the first `count` endpoints.
+    /// Number of calls out of a hundred that are placed at the first `count` endpoints.
     int placedAtFirst(int count)
     {
         int placed = 0;
@@ -54,8 +54,8 @@
     CallGate gate{timers, random, "self", "a"};
 };
 
-// Guards against a call that tries three dead endpoints in a row, and is refused while others are idle.
-TEST_F(CrashedEndpointTest, endpointsThatCrashed_getNoCallsWhileOthersLive)
+// Guards against a call that tries three crashed endpoints in a row, and is refused although others are idle.
+TEST_F(CrashedEndpointTest, crashedEndpoints_othersAlive_getNoCalls)
 {
     EXPECT_GT(placedAtFirst(3), 0);
     for (int n = 0; n < 3; ++n) {
@@ -64,8 +64,8 @@
     EXPECT_EQ(placedAtFirst(3), 0);
 }
 
-// Guards against a pool that is left without endpoints because all of them are taken for dead.
-TEST_F(CrashedEndpointTest, allEndpointsCrashed_someAreTriedAllTheSame)
+// Guards against a pool without any endpoint because all of them are considered crashed.
+TEST_F(CrashedEndpointTest, allEndpoints_crashed_someAreStillTried)
 {
     for (int n = 0; n < kEndpoints; ++n) {
         gate.noteCrashed(id(n));
@@ -73,8 +73,8 @@
     EXPECT_EQ(placedAtFirst(kEndpoints), 100);
 }
 
-// Guards against an endpoint that is left out for ever.
-TEST_F(CrashedEndpointTest, endpointThatIsListedOn_isTriedAgain)
+// Guards against an endpoint that is never used again.
+TEST_F(CrashedEndpointTest, crashedEndpoint_stillListed_isTriedAgain)
 {
     gate.noteCrashed(id(0));
     timers.advance(std::chrono::seconds(10));
--- a/tests/core/serving/endpointregistry_test.cpp
+++ b/tests/core/serving/endpointregistry_test.cpp
@@ -35,7 +35,7 @@
     EndpointRegistry registry;
 };
 
-TEST_F(EndpointRegistryTest, leaving_isFinalForOneLife)
+TEST_F(EndpointRegistryTest, leavingEndpoint_listedAsReadyAgain_staysLeaving)
 {
     registry.list(listing("a"), at(0));
     registry.list(listing("a", true), at(0));
@@ -43,8 +43,9 @@
     EXPECT_EQ(availability("a", 0), EndpointAvailability::Leaving);
 }
 
-// Guards against a list, late, read anew or after a lapse, that takes back what an endpoint has said itself.
-TEST_F(EndpointRegistryTest, leavingByItsOwnWord_isFinalForOneLife)
+// Guards against an old listing, a list that is read again, or a store outage that makes an endpoint usable again after
+// it has reported that it is leaving.
+TEST_F(EndpointRegistryTest, leavingEndpoint_reportedByItself_staysLeavingUntilRestart)
 {
     registry.list(listing("a"), at(0));
     const EndpointSlot slot = *registry.slotOf(EndpointId("a"));
@@ -65,8 +66,8 @@
     EXPECT_EQ(availability("a", 3'000), EndpointAvailability::Usable);
 }
 
-// Guards against the word of an earlier life that empties a later one.
-TEST_F(EndpointRegistryTest, leavingOfAnEarlierLife_saysNothingOfTheLater)
+// Guards against a delayed report of an earlier incarnation that takes a restarted endpoint out of use.
+TEST_F(EndpointRegistryTest, leavingReport_ofEarlierIncarnation_doesNotAffectLater)
 {
     registry.list(listing("a"), at(0));
     const EndpointSlot earlier = *registry.slotOf(EndpointId("a"));
@@ -75,14 +76,14 @@
     EXPECT_EQ(availability("a", 10), EndpointAvailability::Usable);
 }
 
-TEST_F(EndpointRegistryTest, leavingEndpointThatVanishes_isGoneAtOnce)
+TEST_F(EndpointRegistryTest, leavingEndpoint_unlisted_isGoneAtOnce)
 {
     registry.list(listing("a", true), at(0));
     registry.unlist(EndpointId("a"), at(10));
     EXPECT_EQ(availability("a", 10), EndpointAvailability::Gone);
 }
 
-TEST_F(EndpointRegistryTest, oneOfMany_thatVanishesUnannounced_isDoubtfulForAWhile)
+TEST_F(EndpointRegistryTest, oneOfMany_unlistedUnannounced_isSuspectForAWhile)
 {
     for (const char *id : {"a", "b", "c", "d"}) {
         registry.list(listing(id), at(0));
@@ -93,9 +94,9 @@
     EXPECT_EQ(availability("b", 1900), EndpointAvailability::Usable);
 }
 
-// The store was away for longer than the entries last. At its return the whole list is empty, and fills again with the
-// endpoints' next heartbeats two seconds later. Calls go on meanwhile.
-TEST_F(EndpointRegistryTest, lapsedList_keepsItsEndpointsUntilTheyAreBack)
+// The store was down for longer than the entries last. When it is back, the list is empty, and fills again with the
+// endpoints' next heartbeats two seconds later. Guards against a pool without endpoints during that time.
+TEST_F(EndpointRegistryTest, list_expiredDuringStoreOutage_keepsEndpointsUntilTheyAreBack)
 {
     for (const char *id : {"a", "b", "c", "d"}) {
         registry.list(listing(id), at(0));
@@ -108,9 +109,9 @@
     EXPECT_EQ(availability("b", 3600), EndpointAvailability::Gone);
 }
 
-// Guards against calls that reach endpoints seconds after they were taken away: half of a pool is removed unannounced
-// while the store is sound, which is no lapse of the list.
-TEST_F(EndpointRegistryTest, halfOfAPoolRemovedWhileTheStoreIsSound_isGoneAsOneWouldBe)
+// Guards against calls to endpoints seconds after they were removed: half of a pool is unlisted unannounced, but the
+// store was not down, so the list has not expired.
+TEST_F(EndpointRegistryTest, halfOfPool_unlistedWithoutStoreOutage_isGoneAfterUsualTime)
 {
     for (const char *id : {"a", "b", "c", "d"}) {
         registry.list(listing(id), at(0));
@@ -122,7 +123,7 @@
     EXPECT_EQ(availability("a", 6900), EndpointAvailability::Gone);
 }
 
-TEST_F(EndpointRegistryTest, goneEndpoint_isForgottenOnceNothingIsUnderWayThere)
+TEST_F(EndpointRegistryTest, goneEndpoint_withCallsInFlight_isForgottenAfterTheyEnd)
 {
     registry.list(listing("a", true), at(0));
     const EndpointSlot slot = *registry.slotOf(EndpointId("a"));
@@ -134,9 +135,10 @@
     EXPECT_TRUE(registry.pool(PoolId("llm")).empty());
 }
 
-// An engine crashes behind a cut and starts again under its id. What it was believed to hold, to be busy with and to
-// have announced is of its earlier life: calls that ended there would otherwise free room that the new life never gave.
-TEST_F(EndpointRegistryTest, rebornEndpoint_startsAnew)
+// An engine crashes while the network is cut, and restarts under its id. Its cache hints, calls in flight and leaving
+// state belong to the earlier incarnation. Guards against calls of that incarnation which free room at the new one when
+// they end.
+TEST_F(EndpointRegistryTest, restartedEndpoint_withCallsInFlight_startsWithCleanState)
 {
     registry.list(listing("a", true), at(0));
     const EndpointSlot before = *registry.slotOf(EndpointId("a"));
@@ -147,21 +149,22 @@
     EXPECT_EQ(registry.availability(after, at(0)), EndpointAvailability::Usable);
     EXPECT_EQ(registry.at(after).inFlight, 0);
     EXPECT_EQ(registry.availability(before, at(0)), EndpointAvailability::Gone);
-    EXPECT_TRUE(registry.forgetGone(at(0)).empty()) << "calls of the earlier life are still under way";
+    EXPECT_TRUE(registry.forgetGone(at(0)).empty()) << "calls of the earlier incarnation are still in flight";
     registry.at(before).inFlight = 0;
     EXPECT_EQ(registry.forgetGone(at(0)), std::vector<EndpointSlot>{before});
     EXPECT_EQ(registry.slotOf(EndpointId("a")), after);
 }
 
-TEST_F(EndpointRegistryTest, newsOfAnEarlierLife_isIgnored)
+TEST_F(EndpointRegistryTest, listing_ofEarlierIncarnation_isIgnored)
 {
     registry.list(listing("a", false, 2), at(0));
     EXPECT_EQ(registry.list(listing("a", true, 1), at(0)), ListingOutcome::Outdated);
     EXPECT_EQ(availability("a", 0), EndpointAvailability::Usable);
 }
 
-// The list is read late, from a gateway that was behind: the endpoint has left and is forgotten by then.
-TEST_F(EndpointRegistryTest, lateNewsOfAForgottenEndpoint_doesNotBringItBack)
+// Guards against an endpoint that has left and was forgotten, and becomes usable again by an old list from a gateway
+// that was behind.
+TEST_F(EndpointRegistryTest, delayedListing_ofForgottenEndpoint_doesNotBringItBack)
 {
     registry.list(listing("a", true, 2), at(0));
     registry.unlist(EndpointId("a"), at(0));
@@ -173,17 +176,17 @@
     EXPECT_EQ(availability("a", 30), EndpointAvailability::Usable);
 }
 
-TEST_F(EndpointRegistryTest, listWithARebornEndpoint_tellsIt)
+TEST_F(EndpointRegistryTest, replaceAll_withRestartedEndpoint_returnsIt)
 {
     registry.replaceAll({listing("a"), listing("b")}, at(0));
-    const std::vector<EndpointId> reborn = registry.replaceAll({listing("a", false, 5), listing("b")}, at(10));
-    EXPECT_EQ(reborn, std::vector<EndpointId>{EndpointId("a")});
+    const std::vector<EndpointId> restarted = registry.replaceAll({listing("a", false, 5), listing("b")}, at(10));
+    EXPECT_EQ(restarted, std::vector<EndpointId>{EndpointId("a")});
     EXPECT_EQ(registry.pool(PoolId("llm")).size(), 3U);
     registry.forgetGone(at(10));
     EXPECT_EQ(registry.pool(PoolId("llm")).size(), 2U);
 }
 
-TEST_F(EndpointRegistryTest, closedZone_itsEndpointsGetNothingUntilItIsOpen)
+TEST_F(EndpointRegistryTest, endpoint_zoneClosed_isCordonedUntilReopened)
 {
     registry.list(listing("a"), at(0));
     registry.setClosedZones({"north"});
@@ -192,8 +195,8 @@
     EXPECT_EQ(availability("a", 0), EndpointAvailability::Usable);
 }
 
-// Guards against calls into a closed zone by way of an endpoint that is listed after the order.
-TEST_F(EndpointRegistryTest, endpointListedInAClosedZone_getsNothing)
+// Guards against calls to an endpoint that is listed in a zone after the zone was closed.
+TEST_F(EndpointRegistryTest, endpoint_listedInClosedZone_isCordoned)
 {
     registry.closeZone("north");
     registry.list(listing("a"), at(0));
@@ -201,8 +204,8 @@
     EXPECT_EQ(availability("a", 0), EndpointAvailability::Cordoned);
 }
 
-// Guards against calls into a closed zone that go to an endpoint whose entry has lapsed there.
-TEST_F(EndpointRegistryTest, doubtfulEndpointOfAClosedZone_getsNothing)
+// Guards against calls to an endpoint in a closed zone whose entry has expired.
+TEST_F(EndpointRegistryTest, suspectEndpoint_inClosedZone_isCordoned)
 {
     registry.list(listing("a"), at(0));
     registry.closeZone("north");
@@ -211,8 +214,8 @@
     EXPECT_EQ(availability("a", 4000), EndpointAvailability::Gone);
 }
 
-// Guards against an endpoint that is taken for cold again and again by one entry that is read several times.
-TEST_F(EndpointRegistryTest, coldEntry_readAgain_isNoColderThanBefore)
+// Guards against an endpoint whose cold time is extended each time its unchanged entry is read.
+TEST_F(EndpointRegistryTest, coldEntry_readAgain_isNotExtended)
 {
     EndpointListing it = listing("a");
     it.revision = 4;
@@ -227,7 +230,7 @@
     EXPECT_TRUE(registry.isCold(slot, at(6999)));
 }
 
-/// Entries of the store at revisions of their own, all for one address.
+/// Entries with different revisions of the store, all for one address.
 class ReplacedEndpointTest : public EndpointRegistryTest
 {
 protected:
@@ -238,17 +241,17 @@
         registry.list(it, at(0));
     }
 
-    void miss(const std::string &id)
+    void loseAddress(const std::string &id)
     {
         registry.noteWrongEndpoint(*registry.slotOf(EndpointId(id)));
     }
 };
 
-TEST_F(ReplacedEndpointTest, endpointsBackUnderNewIds_oldEntriesAreNotUsedBeforeTheyLapse)
+TEST_F(ReplacedEndpointTest, endpoint_backUnderNewId_oldEntryIsReplaced)
 {
-    // All instances lose their power. The endpoints are back a second later under new ids at their old addresses, and
-    // are listed at once; the old entries lapse after three seconds more. A call that is sent to an old id is turned
-    // away by the new one, and where it may be sent but once its caller gets a failure.
+    // After a power loss the endpoints are back within a second under new ids at their old addresses, and are listed at
+    // once. The old entries expire three seconds later. A call that is sent to an old id is refused by the new
+    // endpoint, and fails if it may be sent only once.
     list("old", 5);
     list("new", 9);
 
@@ -259,7 +262,7 @@
     EXPECT_EQ(availability("new", 3000), EndpointAvailability::Usable);
 }
 
-TEST_F(ReplacedEndpointTest, entriesRead_inAnyOrder_theNewerHolds)
+TEST_F(ReplacedEndpointTest, entriesOfOneAddress_readInAnyOrder_newerIsUsable)
 {
     list("new", 9);
     list("old", 5);
@@ -268,23 +271,23 @@
     EXPECT_EQ(availability("new", 0), EndpointAvailability::Usable);
 }
 
-TEST_F(ReplacedEndpointTest, lateNewsOfOneThatHasEnded_isShownUpByTheFirstCallThatMissesIt)
+TEST_F(ReplacedEndpointTest, delayedEntry_ofEndedEndpoint_isReplacedAfterFirstWrongAnswer)
 {
-    // The entry of an endpoint that has ended is written once more, after that of its successor.
+    // The entry of an endpoint that has ended is written once more, after the entry of its successor.
     list("new", 9);
     list("old", 12);
     EXPECT_EQ(availability("new", 0), EndpointAvailability::Replaced);
 
-    miss("old");
+    loseAddress("old");
 
     EXPECT_EQ(availability("old", 0), EndpointAvailability::Replaced);
     EXPECT_EQ(availability("new", 0), EndpointAvailability::Usable);
 }
 
-TEST_F(ReplacedEndpointTest, missedEndpoint_isUsedAgainOnceItsEntryChanges)
+TEST_F(ReplacedEndpointTest, endpointWithLostAddress_entryChanges_isUsableAgain)
 {
     list("a", 5);
-    miss("a");
+    loseAddress("a");
     EXPECT_EQ(availability("a", 0), EndpointAvailability::Replaced);
     list("a", 5);
     EXPECT_EQ(availability("a", 0), EndpointAvailability::Replaced);
@@ -294,7 +297,7 @@
     EXPECT_EQ(availability("a", 0), EndpointAvailability::Usable);
 }
 
-TEST_F(ReplacedEndpointTest, successorVanishes_theOlderEntryHoldsAgain)
+TEST_F(ReplacedEndpointTest, olderEntry_successorUnlisted_isUsableAgain)
 {
     list("a", 5);
     list("b", 9);
@@ -303,7 +306,7 @@
     EXPECT_EQ(availability("a", 0), EndpointAvailability::Usable);
 }
 
-TEST_F(ReplacedEndpointTest, revisionsNotKnown_bothAreUsed)
+TEST_F(ReplacedEndpointTest, entriesOfOneAddress_revisionsUnknown_bothAreUsable)
 {
     list("a", 0);
     list("b", 0);
--- a/tests/core/serving/fleetload_test.cpp
+++ b/tests/core/serving/fleetload_test.cpp
@@ -7,19 +7,20 @@
 
 using namespace RadishSwitch;
 
-/// Load from several gateways on the same engines, replayed in virtual time. Each gateway knows what it sent itself and
-/// how late first answers were, and nothing of the others.
+/// Load from several gateways on the same engines, simulated in virtual time. Each gateway knows only its own calls and
+/// their delays.
 class FleetLoadTest : public testing::Test
 {
 protected:
     static constexpr int kGateways = 6;
     static constexpr int kEngines = 12;
 
-    /// One kind of call: parts that many share, parts of one subject, and what is the call's own.
+    /// One kind of call. Its prompts consist of a system prompt that many share, a part of one subject, and a part of
+    /// their own.
     struct Kind {
         int callsPerMinute;
-        int openings;
-        std::int64_t openingTokens;
+        int systemPrompts;
+        std::int64_t systemPromptTokens;
         int subjects;
         std::int64_t subjectTokens;
         std::int64_t ownTokens;
@@ -31,8 +32,8 @@
         std::int64_t recomputedTokens = 0;
     };
 
-    /// Plays a minute in which `kinds` are asked for, `surge` times as often as usual.
-    static Outcome play(const PlacementSettings &placement, double enginesTokensPerSecond, double surge)
+    /// Simulates a minute with calls of all kinds, at `loadFactor` times their usual rate.
+    static Outcome runLoad(const PlacementSettings &placement, double enginesTokensPerSecond, double loadFactor)
     {
         VirtualTimerService timers;
         SeededRandom random{11};
@@ -49,7 +50,7 @@
         int calls = 0;
         for (int millisecond = 0; millisecond < 60'000; ++millisecond) {
             for (std::size_t n = 0; n < kKinds.size(); ++n) {
-                const double chance = kKinds[n].callsPerMinute * surge / 60'000;
+                const double chance = kKinds[n].callsPerMinute * loadFactor / 60'000;
                 if (static_cast<double>(random.below(1'000'000)) < chance * 1'000'000) {
                     const std::size_t gate = random.below(kGateways);
                     send(*gates[gate], engines, timers, queryOf(n, ++calls, random), outcome.late);
@@ -85,7 +86,7 @@
     static PlacementQuery queryOf(std::size_t kind, int number, SeededRandom &random)
     {
         const Kind &it = kKinds[kind];
-        // Prompts of a kind differ: most are short, one in eight is eight times as long.
+        // Prompts of a kind differ in length: one in eight is eight times as long as the others.
         const std::int64_t own = random.below(8) == 0 ? it.ownTokens * 4 : it.ownTokens / 2;
         const std::uint64_t base = 1'000'000 * (kind + 1);
         const std::uint64_t subject = random.below(static_cast<std::uint64_t>(it.subjects));
@@ -94,7 +95,7 @@
         query.pool = PoolId("llm");
         query.organisation = OrganisationId("o");
         query.priority = static_cast<int>(kind);
-        query.parts = {{base + subject % static_cast<std::uint64_t>(it.openings), it.openingTokens},
+        query.parts = {{base + subject % static_cast<std::uint64_t>(it.systemPrompts), it.systemPromptTokens},
                        {base + 1'000 + subject, it.subjectTokens},
                        {100'000'000 + static_cast<std::uint64_t>(number), own}};
         return query;
@@ -127,26 +128,26 @@
     };
 };
 
-// Load: long prompts and short ones at engines that read a third as fast as was assumed, three times as many as usual.
-// Work on its way counts for a third of what it is, calls are sent behind prompts that take a second to read, and are
-// late.
-TEST_F(FleetLoadTest, enginesSlowerThanAssumed_areNotOverrun)
+// Load: long and short prompts at three times the usual rate, on engines that prefill three times slower than assumed.
+// Without learning, the load on its way is underestimated by that factor, and calls are sent behind prompts that take a
+// second to prefill and are late.
+TEST_F(FleetLoadTest, engines_slowerThanAssumed_areNotOverloaded)
 {
     PlacementSettings learnt;
     PlacementSettings fixed;
     fixed.hasFixedSpeed = true;
-    const Outcome ours = play(learnt, 31'000, 3);
-    const Outcome baseline = play(fixed, 31'000, 3);
+    const Outcome ours = runLoad(learnt, 31'000, 3);
+    const Outcome baseline = runLoad(fixed, 31'000, 3);
     EXPECT_LT(ours.late * 4, baseline.late) << ours.late << " late where " << baseline.late << " were";
 }
 
-// Load: the same calls at engines that are as fast as assumed. Learning must cost nothing there.
-TEST_F(FleetLoadTest, enginesAsFastAsAssumed_areUsedAsBefore)
+// Load: similar calls on engines that are as fast as assumed. Learning must cost nothing there.
+TEST_F(FleetLoadTest, engines_asFastAsAssumed_learningCostsNothing)
 {
     PlacementSettings learnt;
     PlacementSettings fixed;
     fixed.hasFixedSpeed = true;
-    const Outcome ours = play(learnt, 101'000, 5);
-    const Outcome baseline = play(fixed, 101'000, 5);
+    const Outcome ours = runLoad(learnt, 101'000, 5);
+    const Outcome baseline = runLoad(fixed, 101'000, 5);
     EXPECT_LE(ours.late, baseline.late * 1.1 + 5) << ours.late << " late where " << baseline.late << " were";
 }
--- a/tests/core/serving/limitedendpoint_test.cpp
+++ b/tests/core/serving/limitedendpoint_test.cpp
@@ -11,19 +11,19 @@
 
 using namespace RadishSwitch;
 
-/// One endpoint of a pool is in need and says what it takes, at fleets of several sizes, in virtual time. Gateways hear
-/// it by answers, and of one another a little later.
+/// One overloaded endpoint of a pool announces a limit, with fleets of several sizes, in virtual time. Gateways learn
+/// of it from answers, and from each other a little later.
 class LimitedEndpointTest : public testing::TestWithParam<int>
 {
 protected:
     using Milliseconds = std::chrono::milliseconds;
 
     static constexpr int kEndpoints = 12;
-    static constexpr Duration kAnswer = Milliseconds(20);
-    static constexpr Duration kNews = Milliseconds(200);
-    /// Any four seconds count.
-    static constexpr Duration kSpan = std::chrono::seconds(4);
-    static constexpr Duration kKeptWithin = std::chrono::seconds(3);
+    static constexpr Duration kAnswerDelay = Milliseconds(20);
+    static constexpr Duration kPropagationDelay = Milliseconds(200);
+    /// Window in which the limit is checked, wherever it begins.
+    static constexpr Duration kWindow = std::chrono::seconds(4);
+    static constexpr Duration kSettlingTime = std::chrono::seconds(3);
 
     LimitedEndpointTest()
     {
@@ -55,7 +55,7 @@
         return it;
     }
 
-    void play(Duration span, int perSecond)
+    void runLoad(Duration span, int perSecond)
     {
         const Instant end = timers.now() + span;
         while (timers.now() < end) {
@@ -81,7 +81,7 @@
             if (placement->endpoint == EndpointId("engine-0")) {
                 arrivals.push_back(timers.now());
             }
-            timers.after(kAnswer, [this, &gate, it = *placement] {
+            timers.after(kAnswerDelay, [this, &gate, it = *placement] {
                 answer(gate, it);
             });
         });
@@ -93,7 +93,7 @@
         EndpointNotice notice;
         notice.callsPerSecond = isLimited ? limit : std::nullopt;
         if (gate.noteNotice(placement.id, notice).hasLimitChanged) {
-            timers.after(kNews, [this, heard = limit] {
+            timers.after(kPropagationDelay, [this, heard = limit] {
                 for (const auto &it : gates) {
                     it->setAnnouncedLimit(EndpointId("engine-0"), heard);
                 }
@@ -102,13 +102,13 @@
         gate.noteEnded(placement.id, RunEnd::Ok);
     }
 
-    /// The most calls in any span that begins after `from`.
-    std::size_t mostInSpan(Instant from) const
+    /// The most calls in any window that begins at or after `from`.
+    std::size_t mostInWindow(Instant from) const
     {
         std::size_t most = 0;
         for (auto first = arrivals.begin(); first != arrivals.end(); ++first) {
             if (*first >= from) {
-                const auto last = std::ranges::lower_bound(arrivals, *first + kSpan);
+                const auto last = std::ranges::lower_bound(arrivals, *first + kWindow);
                 most = std::max(most, static_cast<std::size_t>(last - first));
             }
         }
@@ -126,48 +126,48 @@
     int m_calls = 0;
 };
 
-// Guards against each gateway sending a whole call where all together may send less than one each.
-TEST_P(LimitedEndpointTest, limitOfAnySize_isKeptByAllTogetherAndUsed)
+// Guards against each gateway sending a whole call where the limit allows less than one call for each.
+TEST_P(LimitedEndpointTest, announcedLimit_ofAnySize_isKeptByAllGatewaysTogetherAndUsed)
 {
     for (const double rate : {0.3, 1.5, 12.0}) {
         limit = rate;
-        play(kKeptWithin, 400);
+        runLoad(kSettlingTime, 400);
         const Instant from = timers.now();
         arrivals.clear();
-        play(5 * kSpan, 400);
+        runLoad(5 * kWindow, 400);
         const double most = std::max(rate * 4, 1.0);
-        EXPECT_LE(mostInSpan(from), most) << rate;
+        EXPECT_LE(mostInWindow(from), most) << rate;
         EXPECT_GE(static_cast<double>(arrivals.size()), most) << rate << ": starved";
     }
     EXPECT_EQ(refused, 0);
 }
 
-// Guards against gateways with no part that never hear of the end.
-TEST_P(LimitedEndpointTest, limitThatEnds_isForgottenByAll)
+// Guards against gateways without a share that never learn of the end of a limit.
+TEST_P(LimitedEndpointTest, announcedLimit_ends_allGatewaysForgetIt)
 {
     limit = 1.5;
-    play(kKeptWithin, 400);
+    runLoad(kSettlingTime, 400);
     limit.reset();
-    play(2 * kSpan, 400);
+    runLoad(2 * kWindow, 400);
     arrivals.clear();
-    play(kSpan, 400);
-    // Its twelfth of all calls, or nearly so.
+    runLoad(kWindow, 400);
+    // The endpoint gets about a twelfth of all calls.
     EXPECT_GE(arrivals.size(), 80U);
 }
 
-// Guards against an endpoint that is held to what nobody has heard of for a long time.
-TEST_P(LimitedEndpointTest, limitOfWhichNothingIsHeard_lapses)
+// Guards against an endpoint that is held to a limit which was not confirmed for a long time.
+TEST_P(LimitedEndpointTest, announcedLimit_notConfirmed_expires)
 {
     for (const auto &gate : gates) {
         gate->setAnnouncedLimit(EndpointId("engine-0"), 0.0);
     }
     timers.advance(kAnnouncedLimitTtl);
-    play(kSpan, 400);
+    runLoad(kWindow, 400);
     EXPECT_GE(arrivals.size(), 80U);
 }
 
-// Guards against the answer to an old call that ends a limit which has only just begun.
-TEST_P(LimitedEndpointTest, answerToACallFromBeforeTheLimit_doesNotEndIt)
+// Guards against the answer to an old call that ends a limit announced after the call was sent.
+TEST_P(LimitedEndpointTest, answerWithoutLimit_toCallSentBefore_doesNotEndLimit)
 {
     CallGate &gate = *gates.front();
     PlacementQuery query;
--- a/tests/core/serving/crowdedservice_test.cpp
+++ b/tests/core/serving/overloadedservice_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace RadishSwitch;
 
-/// Plain endpoints in virtual time: each works on six calls at once, has a few more wait, and refuses what is beyond.
+/// An endpoint in virtual time that works on six calls concurrently, queues 24 more, and refuses the rest.
 class QueueingEndpoint
 {
 public:
@@ -22,7 +22,7 @@
     {
     }
 
-    /// Calls back with whether it was taken, once it has ended.
+    /// Calls back when the call has ended, with whether it was accepted.
     void run(std::function<void(bool)> callback)
     {
         constexpr std::size_t kQueue = 24;
@@ -58,8 +58,8 @@
     std::deque<std::function<void(bool)>> m_waiting;
 };
 
-/// Many gateways, each with few calls, before a plain service; replayed in virtual time.
-class CrowdedServiceTest : public testing::Test
+/// Many gateways with few calls each in front of a plain service, simulated in virtual time.
+class OverloadedServiceTest : public testing::Test
 {
 protected:
     static constexpr int kGateways = 29;
@@ -71,8 +71,9 @@
         int refused = 0;
     };
 
-    /// Plays ten seconds of calls at endpoints that are so many times slower than usual.
-    Outcome play(const std::vector<int> &slowness, int callsPerSecond, bool ignoresPressure)
+    /// Simulates ten seconds of calls. Each element of `slowness` is an endpoint that is that many times slower than
+    /// usual.
+    Outcome runLoad(const std::vector<int> &slowness, int callsPerSecond, bool ignoresPressure)
     {
         VirtualTimerService timers;
         SeededRandom random{9};
@@ -122,44 +123,44 @@
                 ++outcome.refused;
                 return;
             }
-            endpoints.at(placement->endpoint.value())->run([&, begin, id = placement->id](bool isTaken) {
+            endpoints.at(placement->endpoint.value())->run([&, begin, id = placement->id](bool isAccepted) {
                 const bool isInTime = timers.now() - begin <= kTarget;
-                outcome.refused += isTaken ? 0 : 1;
-                outcome.inTime += isTaken && isInTime ? 1 : 0;
-                outcome.late += isTaken && !isInTime ? 1 : 0;
+                outcome.refused += isAccepted ? 0 : 1;
+                outcome.inTime += isAccepted && isInTime ? 1 : 0;
+                outcome.late += isAccepted && !isInTime ? 1 : 0;
                 gate.noteFirstAnswer(id);
-                gate.noteEnded(id, isTaken ? RunEnd::Ok : RunEnd::Refused);
+                gate.noteEnded(id, isAccepted ? RunEnd::Ok : RunEnd::Refused);
             });
         });
     }
 };
 
-// Load: one endpoint of three is left, and a sixth more comes than it can do. Its queue is always full, and a call that
-// got into it answers late. Nine tenths of what it can do is to be in time.
-TEST_F(CrowdedServiceTest, oneEndpointLeft_mostOfWhatItCanDoIsInTime)
+// Load: only one endpoint of three is left, and the load is about a sixth above its capacity. Its queue is always full,
+// so that calls accepted into it are answered late. With shedding, calls worth nine tenths of the capacity must be in
+// time.
+TEST_F(OverloadedServiceTest, oneEndpointLeft_offeredMoreThanCapacity_mostOfCapacityIsInTime)
 {
-    constexpr int kCallsThatItCanDo = 2000;
-    const Outcome ours = play({1}, 230, false);
-    const Outcome baseline = play({1}, 230, true);
-    EXPECT_GE(ours.inTime, kCallsThatItCanDo * 9 / 10);
-    EXPECT_LT(baseline.inTime, kCallsThatItCanDo * 9 / 10);
+    constexpr int kCapacity = 2000;
+    const Outcome ours = runLoad({1}, 230, false);
+    const Outcome baseline = runLoad({1}, 230, true);
+    EXPECT_GE(ours.inTime, kCapacity * 9 / 10);
+    EXPECT_LT(baseline.inTime, kCapacity * 9 / 10);
     EXPECT_LT(ours.late, baseline.late / 2) << ours.late << " late where " << baseline.late << " were";
 }
 
-// Load: an ordinary day. Nobody is turned away.
-TEST_F(CrowdedServiceTest, enoughEndpoints_nobodyIsTurnedAway)
+// Load: a usual day. No call is refused.
+TEST_F(OverloadedServiceTest, enoughEndpoints_usualLoad_nothingIsShed)
 {
-    const Outcome ours = play({1, 1, 1}, 200, false);
+    const Outcome ours = runLoad({1, 1, 1}, 200, false);
     EXPECT_EQ(ours.refused, 0);
     EXPECT_GE(ours.inTime, 1900);
 }
 
-// Load: one endpoint of three works four times as long. The two others take its part; turning calls away would help
-// nobody.
-TEST_F(CrowdedServiceTest, oneSlowEndpoint_isLeftOutAndFewAreTurnedAway)
+// Load: one endpoint of three is four times slower. The two others take over its calls; shedding would be of no use.
+TEST_F(OverloadedServiceTest, oneSlowEndpoint_othersHaveRoom_isAvoidedAndLittleIsShed)
 {
-    const Outcome ours = play({1, 1, 4}, 200, false);
-    const Outcome baseline = play({1, 1, 4}, 200, true);
+    const Outcome ours = runLoad({1, 1, 4}, 200, false);
+    const Outcome baseline = runLoad({1, 1, 4}, 200, true);
     EXPECT_LE(ours.refused, 20);
     EXPECT_GE(ours.inTime, baseline.inTime - 20);
 }
--- a/tests/core/serving/poisondetector_test.cpp
+++ b/tests/core/serving/poisondetector_test.cpp
@@ -25,7 +25,7 @@
         return {EndpointId("engine-" + std::to_string(n)), 0};
     }
 
-    /// An endpoint crashes under these requests, as one gateway tells it.
+    /// An endpoint crashes under these requests, as reported by one gateway.
     std::vector<RequestFingerprint> crash(int endpoint, const std::vector<std::string> &bodies)
     {
         CrashReport report;
@@ -50,8 +50,8 @@
     int reports = 0;
 };
 
-// Guards against a request that crashes endpoints for ever.
-TEST_F(PoisonDetectorTest, threeCrashesOneAfterTheOther_barTheRequest)
+// Guards against a request that keeps crashing endpoints.
+TEST_F(PoisonDetectorTest, threeCrashes_oneAfterTheOther_barTheRequest)
 {
     EXPECT_TRUE(crash(1, {"poison"}).empty());
     wait(Seconds(1));
@@ -62,8 +62,8 @@
     EXPECT_FALSE(detector.isBarred(request("other")));
 }
 
-// Guards against one crash that counts for each gateway which saw it.
-TEST_F(PoisonDetectorTest, oneCrashToldByManyGateways_countsOnce)
+// Guards against one crash that counts for each gateway that reports it.
+TEST_F(PoisonDetectorTest, oneCrash_reportedByManyGateways_countsOnce)
 {
     for (int n = 0; n < 10; ++n) {
         crash(1, {"request"});
@@ -73,8 +73,8 @@
     EXPECT_FALSE(detector.isBarred(request("request")));
 }
 
-// Guards against a crash with many requests in it, each of which would be held for the cause.
-TEST_F(PoisonDetectorTest, requestsThatRanBesideTheCause_areNotBarred)
+// Guards against barring all requests that ran at an endpoint when it crashed.
+TEST_F(PoisonDetectorTest, requests_besideThePoisonRequest_areNotBarred)
 {
     crash(1, {"poison", "a", "b"});
     wait(Seconds(1));
@@ -85,9 +85,9 @@
     EXPECT_EQ(detector.barredCount(), 1U);
 }
 
-// Guards against a request that was there each time because its caller repeated it after each crash of another's
-// making.
-TEST_F(PoisonDetectorTest, requestWhoseCrashesTheCauseExplains_isNotBarred)
+// Guards against barring a request that ran beside the poison request each time because its caller repeated it after
+// each crash.
+TEST_F(PoisonDetectorTest, request_crashesExplainedByPoisonRequest_isNotBarred)
 {
     crash(1, {"poison"});
     wait(Seconds(1));
@@ -99,8 +99,8 @@
     EXPECT_FALSE(detector.isBarred(request("repeated")));
 }
 
-// Guards against a frequent request that is held for the cause when a zone loses power.
-TEST_F(PoisonDetectorTest, endpointsThatCrashTogether_barNothing)
+// Guards against barring a frequent request when a zone loses power.
+TEST_F(PoisonDetectorTest, manyCrashes_atOneMoment_barNothing)
 {
     for (int n = 0; n < 20; ++n) {
         crash(n, {"frequent"});
@@ -109,8 +109,9 @@
     EXPECT_FALSE(detector.isBarred(request("frequent")));
 }
 
-// Guards against a cause that hides behind its own speed: each run was sent when the crash before it was known.
-TEST_F(PoisonDetectorTest, crashesInQuickSequence_barTheRequest)
+// Guards against a poison request whose crashes come so quickly that they look like one event. Each run was sent when
+// the crash before it was known.
+TEST_F(PoisonDetectorTest, crashes_inQuickSequence_barTheRequest)
 {
     for (int n = 0; n < 3; ++n) {
         EXPECT_FALSE(detector.isBarred(request("poison")));
@@ -121,15 +122,15 @@
     EXPECT_TRUE(detector.isBarred(request("poison")));
 }
 
-// Guards against a report that accuses by a number it made up.
-TEST_F(PoisonDetectorTest, countBeforeThatNobodyElseKnows_doesNotBar)
+// Guards against a report that bars a request by an invented number of earlier crashes.
+TEST_F(PoisonDetectorTest, report_withUnknownEarlierCrashes_doesNotBar)
 {
     detector.addReport("report", {{{incarnation(1), request("request"), 1'000'000}}, {}}, now);
     EXPECT_FALSE(detector.isBarred(request("request")));
 }
 
-// Guards against a well-behaved request that gathers crashes over the day.
-TEST_F(PoisonDetectorTest, requestAnsweredWholeBetweenCrashes_isNotBarred)
+// Guards against barring a harmless request that accumulates crashes over the day.
+TEST_F(PoisonDetectorTest, request_answeredBetweenCrashes_isNotBarred)
 {
     for (int n = 0; n < 12; ++n) {
         crash(n, {"frequent"});
@@ -141,7 +142,7 @@
     EXPECT_FALSE(detector.isBarred(request("frequent")));
 }
 
-TEST_F(PoisonDetectorTest, barredRequestThatIsAnsweredWhole_isFreeAgain)
+TEST_F(PoisonDetectorTest, barredRequest_answered_isNoLongerBarred)
 {
     for (int n = 0; n < 3; ++n) {
         crash(n, {"request"});
@@ -153,7 +154,7 @@
     EXPECT_TRUE(detector.isEmpty());
 }
 
-TEST_F(PoisonDetectorTest, barOfAnotherGateway_holdsUntilItIsLifted)
+TEST_F(PoisonDetectorTest, barOfAnotherGateway_untilLifted_holds)
 {
     detector.bar(request("poison"));
     EXPECT_TRUE(detector.isBarred(request("poison")));
@@ -161,7 +162,7 @@
     EXPECT_TRUE(detector.isEmpty());
 }
 
-TEST_F(PoisonDetectorTest, reportsThatAreForgotten_leaveNothing)
+TEST_F(PoisonDetectorTest, reports_allForgotten_leaveNothing)
 {
     for (int n = 0; n < 3; ++n) {
         crash(n, {"poison", "beside-" + std::to_string(n)});
@@ -174,8 +175,8 @@
     EXPECT_TRUE(detector.isEmpty());
 }
 
-// Guards against a caller that crashes endpoints with ever new requests to fill the memory.
-TEST_F(PoisonDetectorTest, moreRequestsThanAreRemembered_forgetTheOldest)
+// Guards against a caller that fills the memory by crashing endpoints with new requests all the time.
+TEST_F(PoisonDetectorTest, requests_moreThanMaximum_oldestIsForgotten)
 {
     PoisonSettings settings;
     settings.maxRequests = 100;
@@ -187,7 +188,7 @@
     EXPECT_EQ(bounded.crashes(request("999")), 1U);
 }
 
-/// Many gateways, each with its own detector and late news, search over schedules.
+/// Many gateways, each with its own detector and delayed reports, under random schedules.
 class PoisonScheduleTest : public testing::TestWithParam<std::uint64_t>
 {
 protected:
@@ -196,7 +197,7 @@
     static constexpr int kGateways = 12;
     static constexpr int kFrequent = 3;
 
-    struct News {
+    struct ReportInTransit {
         Instant at{};
         std::string source;
         CrashReport report;
@@ -207,13 +208,13 @@
         return RequestFingerprint::of("POST", "/a", "magnolia", body);
     }
 
-    /// Tells all gateways, the one that saw it at once and the others up to 400 ms later.
-    void tell(int gateway, const CrashReport &report)
+    /// Sends a report to all gateways. The reporting gateway has it at once, and the others 50 to 400 ms later.
+    void broadcast(int gateway, const CrashReport &report)
     {
         const std::string source = "report-" + std::to_string(++m_reports);
         for (int n = 0; n < kGateways; ++n) {
             const Duration late = n == gateway ? Milliseconds(0) : Milliseconds(50 + random.below(350));
-            news[n].push_back({now + late, source, report});
+            inTransit[n].push_back({now + late, source, report});
         }
         deliver();
     }
@@ -221,15 +222,15 @@
     void deliver()
     {
         for (int n = 0; n < kGateways; ++n) {
-            std::ranges::stable_sort(news[n], {}, &News::at);
-            while (!news[n].empty() && news[n].front().at <= now) {
-                detectors[n].addReport(news[n].front().source, news[n].front().report, now);
-                news[n].pop_front();
+            std::ranges::stable_sort(inTransit[n], {}, &ReportInTransit::at);
+            while (!inTransit[n].empty() && inTransit[n].front().at <= now) {
+                detectors[n].addReport(inTransit[n].front().source, inTransit[n].front().report, now);
+                inTransit[n].pop_front();
             }
         }
     }
 
-    /// One run at some gateway, which its endpoint survives or not; gives whether it was sent.
+    /// Sends a run through a random gateway; if `isCrashing`, its endpoint crashes. Returns whether the run was sent.
     bool send(const RequestFingerprint &it, bool isCrashing)
     {
         const int gateway = static_cast<int>(random.below(kGateways));
@@ -244,12 +245,12 @@
             report.answered.push_back(it);
         }
         if (!report.isEmpty()) {
-            tell(gateway, report);
+            broadcast(gateway, report);
         }
         return true;
     }
 
-    /// The endpoints of so many copies that are under way at gateways lose power at once.
+    /// The endpoints that run `copies` copies of the request lose power at once.
     void losePower(const RequestFingerprint &it, int copies)
     {
         std::vector<std::pair<int, CrashReport>> reports;
@@ -260,7 +261,7 @@
             }
         }
         for (const auto &[gateway, report] : reports) {
-            tell(gateway, report);
+            broadcast(gateway, report);
         }
     }
 
@@ -277,7 +278,7 @@
 
     SeededRandom random{GetParam()};
     std::vector<PoisonDetector> detectors{kGateways};
-    std::map<int, std::deque<News>> news;
+    std::map<int, std::deque<ReportInTransit>> inTransit;
     Instant now{};
 
 private:
@@ -285,9 +286,9 @@
     int m_incarnations = 0;
 };
 
-// Guards against repeats that go on because each gateway knows a part: at most three runs later than three seconds
-// after the third crash.
-TEST_P(PoisonScheduleTest, poisonAtAnyPace_isSentAtMostThreeTimesMore)
+// Guards against repeats of a poison request that go on because each gateway knows only a part of the crashes: at most
+// three runs are sent later than three seconds after the third crash.
+TEST_P(PoisonScheduleTest, poisonRequest_atAnyPace_isSentAtMostThreeTimesAfterDetection)
 {
     const auto poison = request("poison");
     const Duration pace = Milliseconds(30 + random.below(4000));
@@ -304,8 +305,8 @@
     EXPECT_GE(crashes.size(), 3U);
 }
 
-// Guards against well-behaved requests that are refused because their endpoints lose power again and again.
-TEST_P(PoisonScheduleTest, frequentRequestsThroughLossesOfPower_areServed)
+// Guards against refusing harmless requests whose endpoints lose power again and again.
+TEST_P(PoisonScheduleTest, frequentRequests_duringPowerLosses_areServed)
 {
     int refused = 0;
     int sent = 0;
@@ -323,16 +324,16 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, PoisonScheduleTest, testing::Range<std::uint64_t>(1, 101));
 
-TEST(CrashReportFormatTest, report_isReadBack)
+TEST(CrashReportFormatTest, report_writtenAndRead_isEqual)
 {
-    const auto one = RequestFingerprint::of("POST", "/a", "magnolia", "x");
-    const CrashReport report{{{{EndpointId("i-1"), 7}, one, 2}}, {one}};
+    const auto fingerprint = RequestFingerprint::of("POST", "/a", "magnolia", "x");
+    const CrashReport report{{{{EndpointId("i-1"), 7}, fingerprint, 2}}, {fingerprint}};
     const auto read = readCrashReport(writeCrashReport(report));
     ASSERT_TRUE(read.ok()) << read.status();
     EXPECT_EQ(*read, report);
 }
 
-TEST(CrashReportFormatTest, textThatIsNone_isRefused)
+TEST(CrashReportFormatTest, malformedText_isRefused)
 {
     EXPECT_FALSE(readCrashReport("").ok());
     EXPECT_FALSE(readCrashReport("[]").ok());
--- a/tests/core/serving/prefillspeed_test.cpp
+++ b/tests/core/serving/prefillspeed_test.cpp
@@ -14,12 +14,12 @@
 
 }
 
-TEST(PrefillSpeedTest, withoutAnswers_isTheAssumedOne)
+TEST(PrefillSpeedTest, speed_withoutAnswers_isTheAssumedOne)
 {
     EXPECT_DOUBLE_EQ(PrefillSpeed().tokensPerSecond(), 101'000);
 }
 
-TEST(PrefillSpeedTest, answersOfSlowerEngines_bringItDown)
+TEST(PrefillSpeedTest, speed_answersOfSlowerEngines_falls)
 {
     PrefillSpeed speed;
     for (int n = 0; n < 20; ++n) {
@@ -28,8 +28,8 @@
     EXPECT_NEAR(speed.tokensPerSecond(), 30'000, 3'000);
 }
 
-// The time of a short prompt tells of the network and the queue.
-TEST(PrefillSpeedTest, shortPrompts_tellNothing)
+// The latency of a short prompt is mostly that of the network and the queue.
+TEST(PrefillSpeedTest, speed_shortPrompts_isUnchanged)
 {
     PrefillSpeed speed;
     for (int n = 0; n < 20; ++n) {
@@ -38,7 +38,7 @@
     EXPECT_DOUBLE_EQ(speed.tokensPerSecond(), 101'000);
 }
 
-TEST(PrefillSpeedTest, enginesThatBecomeFaster_areNoticedWithinAMinute)
+TEST(PrefillSpeedTest, speed_enginesBecomeFaster_risesWithinAMinute)
 {
     PrefillSpeed speed;
     for (int n = 0; n < 20; ++n) {
--- a/tests/core/serving/refusingendpoint_test.cpp
+++ b/tests/core/serving/refusingendpoint_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace RadishSwitch;
 
-/// Endpoints that turn all calls away at once, without saying for how long, in virtual time.
+/// Endpoints that refuse all calls at once without asking for backoff, in virtual time.
 class RefusingEndpointTest : public testing::Test
 {
 protected:
@@ -30,7 +30,7 @@
         }
     }
 
-    void play(Duration span)
+    void runLoad(Duration span)
     {
         const Instant end = timers.now() + span;
         while (timers.now() < end) {
@@ -58,23 +58,24 @@
     int refused = 0;
 };
 
-// Load: a third of the endpoints refuses everything at once. They have nothing under way, look best, and got two to
-// five times the calls of the others.
-TEST_F(RefusingEndpointTest, endpointsThatRefuseEverything_getFewCalls)
+// Load: a third of the endpoints refuse all calls at once. They have no calls in flight and look like the best choice,
+// so that they got two to five times the calls of the others.
+TEST_F(RefusingEndpointTest, endpoints_refusingEverything_getFewCalls)
 {
-    play(std::chrono::seconds(10));
+    runLoad(std::chrono::seconds(10));
     EXPECT_LE(refused, sent / 20);
 }
 
-// Guards against an endpoint that is left out for long once it takes calls again.
-TEST_F(RefusingEndpointTest, endpointsThatTakeCallsAgain_getThemWithinASecondOrTwo)
+// Guards against an endpoint that gets no calls for long after it accepts calls again.
+TEST_F(RefusingEndpointTest, endpoints_acceptingAgain_getCallsWithinTwoSeconds)
 {
-    play(std::chrono::seconds(10));
+    runLoad(std::chrono::seconds(10));
     isRefusing = false;
-    play(std::chrono::seconds(2));
-    int underWay = 0;
+    runLoad(std::chrono::seconds(2));
+    int withCallsInFlight = 0;
     for (int n = 0; n < kRefusing; ++n) {
-        underWay += gate.registry().at(*gate.registry().slotOf(EndpointId(std::to_string(n)))).inFlight > 0 ? 1 : 0;
+        withCallsInFlight +=
+            gate.registry().at(*gate.registry().slotOf(EndpointId(std::to_string(n)))).inFlight > 0 ? 1 : 0;
     }
-    EXPECT_GE(underWay, kRefusing - 1);
+    EXPECT_GE(withCallsInFlight, kRefusing - 1);
 }
--- a/tests/core/serving/requestfingerprint_test.cpp
+++ b/tests/core/serving/requestfingerprint_test.cpp
@@ -4,34 +4,34 @@
 
 using namespace RadishSwitch;
 
-TEST(RequestFingerprintTest, sameContent_isEqual)
+TEST(RequestFingerprintTest, fingerprints_ofSameContent_areEqual)
 {
     EXPECT_EQ(RequestFingerprint::of("POST", "/a/1", "magnolia", "hello"),
               RequestFingerprint::of("POST", "/a/1", "magnolia", "hello"));
 }
 
-TEST(RequestFingerprintTest, eachDifferentPart_differs)
+TEST(RequestFingerprintTest, fingerprints_differentInOnePart_differ)
 {
-    const RequestFingerprint one = RequestFingerprint::of("POST", "/a/1", "magnolia", "hello");
-    EXPECT_NE(one, RequestFingerprint::of("GET", "/a/1", "magnolia", "hello"));
-    EXPECT_NE(one, RequestFingerprint::of("POST", "/a/2", "magnolia", "hello"));
-    EXPECT_NE(one, RequestFingerprint::of("POST", "/a/1", "tourbillon", "hello"));
-    EXPECT_NE(one, RequestFingerprint::of("POST", "/a/1", "magnolia", "hello "));
+    const RequestFingerprint fingerprint = RequestFingerprint::of("POST", "/a/1", "magnolia", "hello");
+    EXPECT_NE(fingerprint, RequestFingerprint::of("GET", "/a/1", "magnolia", "hello"));
+    EXPECT_NE(fingerprint, RequestFingerprint::of("POST", "/a/2", "magnolia", "hello"));
+    EXPECT_NE(fingerprint, RequestFingerprint::of("POST", "/a/1", "tourbillon", "hello"));
+    EXPECT_NE(fingerprint, RequestFingerprint::of("POST", "/a/1", "magnolia", "hello "));
 }
 
-TEST(RequestFingerprintTest, bytesMovedBetweenParts_differ)
+TEST(RequestFingerprintTest, fingerprints_bytesMovedBetweenParts_differ)
 {
     EXPECT_NE(RequestFingerprint::of("POST", "/a", "magnolia", "x"),
               RequestFingerprint::of("POST", "/am", "agnolia", "x"));
 }
 
-TEST(RequestFingerprintTest, text_isReadBack)
+TEST(RequestFingerprintTest, fingerprint_writtenAndParsed_isEqual)
 {
-    const RequestFingerprint one = RequestFingerprint::of("POST", "/a/1", "magnolia", "");
-    EXPECT_EQ(RequestFingerprint::parse(one.toString()), one);
+    const RequestFingerprint fingerprint = RequestFingerprint::of("POST", "/a/1", "magnolia", "");
+    EXPECT_EQ(RequestFingerprint::parse(fingerprint.toString()), fingerprint);
 }
 
-TEST(RequestFingerprintTest, textThatIsNone_isRefused)
+TEST(RequestFingerprintTest, malformedText_isRefused)
 {
     EXPECT_EQ(RequestFingerprint::parse(""), std::nullopt);
     EXPECT_EQ(RequestFingerprint::parse("0123"), std::nullopt);
--- a/tests/core/serving/servingload_test.cpp
+++ b/tests/core/serving/servingload_test.cpp
@@ -5,8 +5,8 @@
 
 using namespace RadishSwitch;
 
-/// Load patterns at their worst, replayed in virtual time over the decisions that answer them. A baseline beside ours
-/// shows what each decision is worth.
+/// The worst load patterns, simulated in virtual time with the production placement code. A baseline, such as random
+/// placement, shows the effect of each decision.
 class ServingLoadTest : public testing::Test
 {
 protected:
@@ -46,7 +46,7 @@
         return query;
     }
 
-    /// Sends a call and notes whether its first answer was in time.
+    /// Sends a call and counts it if its first answer is in time.
     void send(const PlacementQuery &query, int &inTime, bool isRandom = false)
     {
         const Instant begin = timers.now();
@@ -69,7 +69,8 @@
         });
     }
 
-    /// Short calls, a hundred a second, and each half second a prompt that takes an engine 0.6 s to read.
+    /// Sends a hundred short calls per second, and every half second a prompt that takes 0.6 s to prefill. Returns the
+    /// number of short calls that are in time.
     int shortCallsInTime(bool isRandom)
     {
         int inTime = 0;
@@ -94,8 +95,9 @@
     int m_calls = 0;
 };
 
-// Load: long prompts among many short ones. A short call behind a long prompt misses its target by half a second.
-TEST_F(ServingLoadTest, longPromptsAmongShortCalls_delayFewOfThem)
+// Load: long prompts among many short ones. A short call queued behind a long prompt misses its target by half a
+// second.
+TEST_F(ServingLoadTest, shortCalls_amongLongPrompts_fewAreDelayed)
 {
     list(kEngines, 64);
     const int ours = shortCallsInTime(false);
@@ -104,8 +106,9 @@
     EXPECT_LT(baseline, 950);
 }
 
-// Load: sessions of 5,000 shared tokens, each asked for again and again by all. Sent anywhere, each engine reads each.
-TEST_F(ServingLoadTest, sharedParts_areReadAgainBySeldomMoreThanOneEngine)
+// Load: sessions with 5,000 shared tokens each, which all callers use repeatedly. Without affinity each engine would
+// prefill every session.
+TEST_F(ServingLoadTest, sharedPrefixes_ofManySessions_areRarelyRecomputed)
 {
     list(kEngines, 64);
     int inTime = 0;
@@ -115,17 +118,17 @@
         send(query({{session, 5'000}, {++own, 400}}), inTime);
         timers.advance(Milliseconds(20));
     }
-    // Sent at random, each of the hundred sessions is read three more times: 1.5 million tokens.
+    // With random placement each of the hundred sessions is prefilled three more times: 1.5 million tokens.
     EXPECT_LT(engines.recomputedTokens(), 150'000);
     EXPECT_GE(inTime, 1980);
 }
 
-// Load: one session gets a third of the traffic, and three quarters of all that the engines can read is asked for. Its
-// home alone would be busy all the time; the session spreads, and few of its parts are read again.
-TEST_F(ServingLoadTest, hotSession_spreadsWhenItsHomeWouldBeLate)
+// Load: one session gets a third of the calls, and the load is three quarters of the engines' capacity. The session's
+// affinity endpoint alone would always be busy. The session spreads, and few of its parts are prefilled again.
+TEST_F(ServingLoadTest, hotSession_affinityEndpointBusy_spreadsToOthers)
 {
     list(kEngines, 64);
-    const auto play = [this](bool isRandom, std::uint64_t firstSession) {
+    const auto runLoad = [this](bool isRandom, std::uint64_t firstSession) {
         int inTime = 0;
         std::uint64_t own = firstSession * 1'000'000;
         for (int n = 0; n < 2000; ++n) {
@@ -136,18 +139,18 @@
         timers.advance(std::chrono::seconds(10));
         return inTime;
     };
-    const int ours = play(false, 1000);
-    const std::int64_t oursRead = engines.recomputedTokens();
-    const int baseline = play(true, 2000);
-    const std::int64_t baselineRead = engines.recomputedTokens() - oursRead;
+    const int ours = runLoad(false, 1000);
+    const std::int64_t oursRecomputed = engines.recomputedTokens();
+    const int baseline = runLoad(true, 2000);
+    const std::int64_t baselineRecomputed = engines.recomputedTokens() - oursRecomputed;
     EXPECT_GE(ours, 1850);
     EXPECT_GT(ours, baseline);
-    EXPECT_LT(oursRead, baselineRead / 3);
+    EXPECT_LT(oursRecomputed, baselineRecomputed / 3);
 }
 
-// Load: a quarter of the endpoints is dark. Each call sent there costs its caller a connect timeout; after a few, only
-// single probes go there.
-TEST_F(ServingLoadTest, darkEndpoint_isLeftOutAfterAFewFailures)
+// Load: a quarter of the endpoints are unreachable. Each call sent to them costs its caller a connect timeout. After a
+// few failures only single probes are sent there.
+TEST_F(ServingLoadTest, unreachableEndpoint_afterAFewFailures_isEjected)
 {
     list(kEngines, 64);
     int failed = 0;
@@ -155,18 +158,18 @@
         const PlacementQuery it = query({});
         gate.place(it, [&](const absl::StatusOr<Placement> &placement) {
             ASSERT_TRUE(placement.ok());
-            const bool isDark = placement->endpoint == PrefillEngines::id(2);
-            failed += isDark ? 1 : 0;
-            gate.noteEnded(placement->id, isDark ? RunEnd::Failed : RunEnd::Ok);
+            const bool isUnreachable = placement->endpoint == PrefillEngines::id(2);
+            failed += isUnreachable ? 1 : 0;
+            gate.noteEnded(placement->id, isUnreachable ? RunEnd::Failed : RunEnd::Ok);
         });
         timers.advance(Milliseconds(10));
     }
     EXPECT_LE(failed, 10);
 }
 
-// Load: an endpoint goes dark under calls that are waited for to their end, since nothing tells that it is not at work.
-// New calls avoid it after a few silences all the same.
-TEST_F(ServingLoadTest, silentEndpointWhoseRunsAreKept_isLeftOut)
+// Load: an endpoint becomes unreachable under runs that are kept, since nothing indicates that they have ended. New
+// calls avoid the endpoint after a few silent runs.
+TEST_F(ServingLoadTest, silentEndpoint_runsKept_isEjected)
 {
     list(kEngines, 64);
     std::vector<PlacementId> kept;
@@ -190,8 +193,9 @@
     EXPECT_EQ(gate.placed(), 0U);
 }
 
-// Load: all endpoints dark. Leaving all out would make sure of the outage; half of them at most are left out.
-TEST_F(ServingLoadTest, allEndpointsFailing_areNotAllLeftOut)
+// Load: all endpoints are unreachable. Ejecting all of them would turn the fault into an outage, so at most half of
+// them are ejected.
+TEST_F(ServingLoadTest, allEndpoints_failing_areNotAllEjected)
 {
     list(kEngines, 64);
     int placed = 0;
@@ -206,9 +210,9 @@
     EXPECT_EQ(placed, 200);
 }
 
-// Load: three times as many calls at once as can be served in time. Those without a chance hear so at the moment they
-// ask; none that was let in waits in vain.
-TEST_F(ServingLoadTest, clumpBeyondCapacity_isRefusedAtOnceOrServedInTime)
+// Load: three times as many calls at once as can be served in time. Calls without a chance are refused at once, and no
+// accepted call waits in vain.
+TEST_F(ServingLoadTest, burst_beyondCapacity_isRefusedAtOnceOrServedInTime)
 {
     constexpr int kSlots = 4;
     constexpr Duration kRun = Milliseconds(100);
@@ -217,7 +221,7 @@
     int late = 0;
     int refusedAtOnce = 0;
     int refusedLater = 0;
-    // A steady load first, so that the queue knows its rate.
+    // Begins with a steady load, so that the queue can measure its rate.
     for (int round = 0; round < 40; ++round) {
         const int calls = round < 30 ? kEngines * kSlots / 2 : kEngines * kSlots * 3;
         for (int n = 0; n < calls; ++n) {
@@ -243,13 +247,15 @@
     timers.advance(std::chrono::seconds(2));
     EXPECT_EQ(late, 0);
     EXPECT_GT(refusedAtOnce, refusedLater);
-    // Sixteen slots at ten runs a second, for the second of the clump and its wait, and the steady rounds before.
+    // Sixteen slots with ten runs per second: the calls of the burst and its wait, and those of the steady rounds
+    // before.
     EXPECT_GE(served, 30 * 8 + 10 * 16);
     EXPECT_EQ(gate.waiting(), 0U);
 }
 
-// Load: one organisation sends seven times its usual into a full pool. The others' calls go on as before.
-TEST_F(ServingLoadTest, greedyOrganisation_doesNotStarveTheOthers)
+// Load: one organisation sends seven times its usual load to a full pool. The other organisation's calls are served as
+// before.
+TEST_F(ServingLoadTest, organisation_sendingTooMuch_doesNotStarveOthers)
 {
     constexpr Duration kRun = Milliseconds(50);
     list(1, 4);
@@ -275,9 +281,9 @@
     EXPECT_GE(served["modest"], 320);
 }
 
-// Load: an endpoint is full with the calls of other gateways and refuses. This gateway sends it less, and more again as
-// it takes them.
-TEST_F(ServingLoadTest, endpointThatRefuses_getsHalfAsMuchAndGrowsBack)
+// Load: an endpoint is full with the calls of other gateways and refuses. This gateway halves its limit there, and
+// raises it again as calls are accepted.
+TEST_F(ServingLoadTest, endpoint_refusing_limitIsHalvedAndGrowsBack)
 {
     list(1, 16);
     const EndpointSlot slot = *gate.registry().slotOf(PrefillEngines::id(0));
@@ -291,7 +297,7 @@
                 }
             });
         }
-        // Calls that end let others in, which end as well.
+        // Calls that end make room for waiting ones, which end as well.
         for (std::size_t n = 0; n < calls.size(); ++n) {
             const PlacementId call = calls[n];
             gate.noteEnded(call, end);
--- a/tests/core/serving/zonecordons_test.cpp
+++ b/tests/core/serving/zonecordons_test.cpp
@@ -10,8 +10,9 @@
     ZoneCordons cordons;
 };
 
-// Guards against a zone that stays closed for ever, because its opening fell into history that the store dropped.
-TEST_F(ZoneCordonsTest, wholeList_withoutAClosedZone_opensIt)
+// Guards against a zone that stays closed for ever, because the withdrawal of its order was missed when the store
+// dropped its history.
+TEST_F(ZoneCordonsTest, fullList_withoutClosedZone_opensIt)
 {
     cordons.replaceAll({"a", "b"});
     cordons.replaceAll({"b"});
@@ -19,8 +20,8 @@
     EXPECT_TRUE(cordons.isClosed("b"));
 }
 
-// Guards against a zone that is sent calls again, because its order fell into history that the store dropped.
-TEST_F(ZoneCordonsTest, wholeList_withAZoneNotHeardOf_closesIt)
+// Guards against a closed zone that gets calls, because its order was missed when the store dropped its history.
+TEST_F(ZoneCordonsTest, fullList_withUnknownZone_closesIt)
 {
     cordons.replaceAll({});
     EXPECT_TRUE(cordons.isKnown());
@@ -28,7 +29,7 @@
     EXPECT_TRUE(cordons.isClosed("c"));
 }
 
-TEST_F(ZoneCordonsTest, ordersAndOpenings_thatComeTwice_changeNothingMore)
+TEST_F(ZoneCordonsTest, orders_receivedTwice_changeNothingMore)
 {
     cordons.close("a");
     cordons.close("a");
@@ -38,8 +39,8 @@
     EXPECT_TRUE(cordons.closedZones().empty());
 }
 
-// Guards against calls sent into a closed zone by a process that has just started.
-TEST_F(ZoneCordonsTest, beforeTheFirstList_nothingIsKnown)
+// Guards against calls to a closed zone from a process that has just started.
+TEST_F(ZoneCordonsTest, cordons_beforeFirstList_areNotKnown)
 {
     EXPECT_FALSE(cordons.isKnown());
 }
--- a/tests/fakes/prefillengines.h
+++ b/tests/fakes/prefillengines.h
@@ -15,8 +15,8 @@
 namespace RadishSwitch
 {
 
-/// Model engines in virtual time, as far as placement can tell them apart: each reads the prompts that it is sent one
-/// after the other, leaves out the parts that it has read before, and answers when it has read.
+/// Simulated engines in virtual time, as far as placement can distinguish them. Each engine prefills its prompts one
+/// after the other, skips the parts in its prefix cache, and answers after the prefill.
 class PrefillEngines
 {
 public:
@@ -34,7 +34,7 @@
         return EndpointId("engine-" + std::to_string(index));
     }
 
-    /// Reads a prompt and calls back when the first answer is there.
+    /// Prefills a prompt and calls back when the first answer is ready.
     void prefill(const EndpointId &endpoint, const std::vector<PromptPart> &parts, std::function<void()> onAnswer)
     {
         Engine &engine = m_engines[static_cast<std::size_t>(std::stoi(endpoint.value().substr(7)))];
@@ -54,7 +54,7 @@
         m_timers.after(engine.freeAt - m_timers.now(), std::move(onAnswer));
     }
 
-    /// Tokens of parts that some engine had read before and another read again.
+    /// Tokens that an engine prefilled although another engine, or the same one, had prefilled them before.
     std::int64_t recomputedTokens() const
     {
         return m_recomputed;
