--- a/tests/core/serving/coldzone_test.cpp
+++ b/tests/core/serving/coldzone_test.cpp
@@ -22,11 +22,11 @@
     static constexpr int kEnginesInZone = 6;
     static constexpr double kColdCallsPerSecond = 18;
 
-    explicit ColdZoneTest(double coldCallsPerSecond = kColdCallsPerSecond)
+    explicit ColdZoneTest(double coldLimit = kColdCallsPerSecond)
     {
         ServedPool pool;
         pool.name = PoolId("llm");
-        pool.coldCallsPerSecond = coldCallsPerSecond;
+        pool.coldCallsPerSecond = coldLimit;
         pool.coldStart = std::chrono::seconds(3);
         std::map<std::string, double> weights;
         for (int n = 0; n < kGateways; ++n) {
