--- a/src/libradishswitch/serving/attemptrules.cpp
+++ b/src/libradishswitch/serving/attemptrules.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// Maximum of attempts in which the call was not sent. A connection that fails at once costs the caller little, but an
-/// endpoint that does not respond costs a connect timeout each.
+/// Maximum number of attempts in which the call was not sent. A connection that fails at once costs the caller little,
+/// but an endpoint that does not respond costs a connect timeout each.
 constexpr int kMaxUnsentAttempts = 3;
 /// Retry-after for calls that all endpoints refused, in milliseconds. A full endpoint finishes some runs within that
 /// time.
@@ -61,8 +61,9 @@
     if (mayHaveRun && history.repetition == Repetition::Never) {
         return FurtherAttempt::NotIdempotent;
     }
-    const bool isTried = !isRetry(end) && history.notSent >= kMaxUnsentAttempts;
-    return isTried || history.sent >= history.maximumAttempts ? FurtherAttempt::AttemptsUsed : FurtherAttempt::Granted;
+    const bool hasUsedUnsentAttempts = !isRetry(end) && history.notSent >= kMaxUnsentAttempts;
+    return hasUsedUnsentAttempts || history.sent >= history.maximumAttempts ? FurtherAttempt::AttemptsUsed
+                                                                            : FurtherAttempt::Granted;
 }
 
 bool isRetry(AttemptEnd end)
--- a/src/libradishswitch/serving/poisondetector.h
+++ b/src/libradishswitch/serving/poisondetector.h
@@ -20,9 +20,10 @@
     /// copies of a frequent request at once. Reports of crashes that happen at the same moment arrive spread over up to
     /// this time.
     Duration coincidenceWindow = std::chrono::milliseconds(500);
-    /// Maximum of crashes within one `coincidenceWindow` that count.
+    /// Maximum number of crashes within one `coincidenceWindow` that count.
     int maxCoincidentCrashes = 2;
-    /// Maximum of requests whose crashes are remembered; the oldest is forgotten first. Each takes about 200 bytes.
+    /// Maximum number of requests whose crashes are remembered; the oldest is forgotten first. Each takes about 200
+    /// bytes.
     std::size_t maxRequests = 10'000;
 };
 
--- a/tests/core/serving/callallowances_test.cpp
+++ b/tests/core/serving/callallowances_test.cpp
@@ -123,7 +123,7 @@
     EXPECT_FALSE(count.isBelow(3, at(1900)));
 }
 
-TEST_F(SlidingCountTest, boundOfZero_isNeverBelow)
+TEST_F(SlidingCountTest, count_boundOfZero_isNeverBelow)
 {
     EXPECT_FALSE(count.isBelow(0, at(0)));
 }
--- a/tests/core/serving/poisondetector_test.cpp
+++ b/tests/core/serving/poisondetector_test.cpp
@@ -333,7 +333,7 @@
     EXPECT_EQ(*read, report);
 }
 
-TEST(CrashReportFormatTest, malformedText_isRefused)
+TEST(CrashReportFormatTest, malformedText_parsed_isRefused)
 {
     EXPECT_FALSE(readCrashReport("").ok());
     EXPECT_FALSE(readCrashReport("[]").ok());
--- a/tests/core/serving/requestfingerprint_test.cpp
+++ b/tests/core/serving/requestfingerprint_test.cpp
@@ -31,7 +31,7 @@
     EXPECT_EQ(RequestFingerprint::parse(fingerprint.toString()), fingerprint);
 }
 
-TEST(RequestFingerprintTest, malformedText_isRefused)
+TEST(RequestFingerprintTest, malformedText_parsed_isRefused)
 {
     EXPECT_EQ(RequestFingerprint::parse(""), std::nullopt);
     EXPECT_EQ(RequestFingerprint::parse("0123"), std::nullopt);
