--- a/src/entry/dispatchgate.cpp
+++ b/src/entry/dispatchgate.cpp
@@ -109,7 +109,7 @@
 void DispatchGate::setPlaceAmongEntries(std::size_t rank, std::size_t count)
 {
     m_monitor.run([&] {
-        m_ceilings.setParts(1.0 / static_cast<double>(count), m_timers.now());
+        m_ceilings.setShare(1.0 / static_cast<double>(count), m_timers.now());
         m_router.setPartOfCapacity(rank, count);
     });
 }
@@ -309,7 +309,7 @@
 {
     while (pool.queue.size() > 0) {
         // Those let in and not sent yet are not in the router's count.
-        PoolRoom room = m_router.room(id);
+        PoolSlots room = m_router.room(id);
         room.free -= pool.entering;
         if (room.free <= 0) {
             return;
--- a/src/fleet/budgetservice.cpp
+++ b/src/fleet/budgetservice.cpp
@@ -47,7 +47,7 @@
         return stream->cancel();
     }
     if (message->has_settle()) {
-        return m_budgets.settleHere(RequestId(message->settle().call()), message->settle().used_tokens());
+        return m_budgets.settleLocally(RequestId(message->settle().call()), message->settle().used_tokens());
     }
     if (message->has_handed()) {
         const wire::HandedPortion &handed = message->handed();
@@ -68,7 +68,7 @@
 
 void BudgetService::reserve(const MessageStreamPointer &stream, const ReservationRequest &request, Duration expiry)
 {
-    m_budgets.reserveHere(request, [this, stream, request, expiry](const absl::StatusOr<Reservation> &reservation) {
+    m_budgets.reserveLocally(request, [this, stream, request, expiry](const absl::StatusOr<Reservation> &reservation) {
         wire::BudgetAnswer answer;
         answer.set_call(request.request.value());
         if (reservation.ok()) {
@@ -86,7 +86,7 @@
 {
     const Instant now = m_timers.now();
     while (!m_expiries.empty() && m_expiries.front().at <= now) {
-        m_budgets.settleHere(m_expiries.front().call, m_expiries.front().tokens);
+        m_budgets.settleLocally(m_expiries.front().call, m_expiries.front().tokens);
         m_expiries.pop_front();
     }
 }
--- a/src/fleet/prepaidbudgets.cpp
+++ b/src/fleet/prepaidbudgets.cpp
@@ -76,7 +76,7 @@
                field("spent_here", here.spent), field("reserved_here", here.reserved)});
 }
 
-void PrepaidBudgets::reserveHere(const ReservationRequest &request, ReservationCallback callback)
+void PrepaidBudgets::reserveLocally(const ReservationRequest &request, ReservationCallback callback)
 {
     book(request.budget, request.allowance);
     // What is asked of a lost ledger is not given up: once the store is back, each process that was cut off would take
@@ -119,7 +119,7 @@
     });
 }
 
-bool PrepaidBudgets::isLedgerAway(const BudgetId &budget) const
+bool PrepaidBudgets::isLedgerUnreachable(const BudgetId &budget) const
 {
     return m_ledger.isStoreAway(m_ledger.shardOf(budget)) || m_isStoreLost();
 }
@@ -139,7 +139,7 @@
                     });
 }
 
-void PrepaidBudgets::settleHere(const RequestId &call, std::int64_t usedTokens)
+void PrepaidBudgets::settleLocally(const RequestId &call, std::int64_t usedTokens)
 {
     const absl::Status status = m_holder.settle(call, usedTokens);
     if (!status.ok()) {
--- a/src/fleet/prepaidbudgets.h
+++ b/src/fleet/prepaidbudgets.h
@@ -21,9 +21,9 @@
 
     static BudgetId budgetOf(const OrganisationId &organisation);
 
-    void reserveHere(const ReservationRequest &request, ReservationCallback callback) override;
-    bool isLedgerAway(const BudgetId &budget) const override;
-    void settleHere(const RequestId &call, std::int64_t usedTokens) override;
+    void reserveLocally(const ReservationRequest &request, ReservationCallback callback) override;
+    bool isLedgerUnreachable(const BudgetId &budget) const override;
+    void settleLocally(const RequestId &call, std::int64_t usedTokens) override;
 
     /// Gives back a portion of a gateway that stopped, as soon as the store is reached.
     void returnHanded(const OrganisationId &organisation, const PortionId &portion, std::int64_t spentTokens);
--- a/src/gateway/call.cpp
+++ b/src/gateway/call.cpp
@@ -95,7 +95,7 @@
     }
     m_history.repetition = m_route->repetition;
     m_history.maximumAttempts = m_route->maximumAttempts;
-    m_cutter = EventCutter(m_request.lastEvent);
+    m_cutter = EventSplitter(m_request.lastEvent);
     return absl::OkStatus();
 }
 
--- a/src/gateway/call.h
+++ b/src/gateway/call.h
@@ -3,7 +3,7 @@
 #include "callservices.h"
 #include "httpserver.h"
 #include "serving/attemptrules.h"
-#include "serving/eventcutter.h"
+#include "serving/eventsplitter.h"
 #include "serving/requestfingerprint.h"
 
 #include <utility>
@@ -150,7 +150,7 @@
     Attempt m_attempt;
     /// The one that is to take its place, or has done so.
     std::optional<Attempt> m_successor;
-    EventCutter m_cutter;
+    EventSplitter m_cutter;
     /// Whether another attempt was to follow when that was asked last.
     std::optional<FurtherAttempt> m_further;
     std::optional<Duration> m_firstAnswerAfter;
--- a/src/gateway/callintake.cpp
+++ b/src/gateway/callintake.cpp
@@ -54,7 +54,7 @@
     }
     const Instant now = m_timers.now();
     if (m_isMeasuring) {
-        m_shedder.noteWaiting(now - m_askedAt, now);
+        m_shedder.noteOverdue(now - m_askedAt, now);
     } else {
         measure(now);
     }
@@ -98,9 +98,9 @@
 void CallIntake::updateAway()
 {
     const Instant now = m_timers.now();
-    const bool isAway = m_shedder.isAway(now) || m_link.isAway(now);
+    const bool isAway = m_shedder.isDiverting(now) || m_link.isDiverting(now);
     if (isAway && m_timer == 0) {
-        m_timer = m_timers.after(m_settings.awayFor, [this] {
+        m_timer = m_timers.after(m_settings.divertFor, [this] {
             m_timer = 0;
             updateAway();
         });
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -146,7 +146,7 @@
 
 void Gateway::begin()
 {
-    m_homes.setOwn(peerOf(m_settings, PeerKind::Gateway));
+    m_homes.setOwnPeer(peerOf(m_settings, PeerKind::Gateway));
     if (m_settings.watchesAlone) {
         m_homes.watchAlone();
     }
@@ -156,7 +156,7 @@
     m_metrics.beforeCollection([this] {
         countGauges();
     });
-    m_relayedStore.setDetourCallback([](bool isDetour) {
+    m_relayedStore.setReadPathCallback([](bool isDetour) {
         kLog.warning(isDetour ? "store read through a home" : "store read directly again", {});
     });
     follow(m_configurationFollower, m_adapter.catalogue->configurationPrefix());
@@ -209,7 +209,7 @@
 
 bool Gateway::isStoreLost() const
 {
-    return !m_configurationFollower.isReached() || m_relayedStore.isDetour();
+    return !m_configurationFollower.isStoreReachable() || m_relayedStore.isReadingThroughHome();
 }
 
 void Gateway::keepUp()
@@ -246,8 +246,8 @@
 {
     WatchLog &log = m_watchPeers.log(prefix);
     follower.setProgressCallback([this, &log](const ObjectFollower::Progress &progress) {
-        if (!progress.isReached) {
-            log.noteLost();
+        if (!progress.isStoreReachable) {
+            log.noteStoreLost();
         } else if (progress.wasListed) {
             log.noteListed(progress.changes);
             updateReady();
@@ -255,7 +255,7 @@
             log.noteChanges(progress.changes);
         }
     });
-    follower.setContactCallback([this, prefix](bool isReached) {
+    follower.setReachabilityCallback([this, prefix](bool isReached) {
         if (isReached) {
             m_homes.forgetFailures();
             m_gate.roster().noteStoreBack(m_timers.now());
@@ -393,7 +393,7 @@
 {
     countBudgets(m_holder, m_metrics);
     m_metrics.gauge("radishswitch_store_reached", "Whether the store answered last")
-        .set(m_configurationFollower.isReached() ? 1 : 0);
+        .set(m_configurationFollower.isStoreReachable() ? 1 : 0);
     m_metrics.gauge("radishswitch_calls_placed", "Calls under way at endpoints")
         .set(static_cast<double>(m_gate.placed()));
     m_metrics.gauge("radishswitch_calls_waiting", "Calls that wait for an endpoint")
--- a/src/libradishswitch/limits/ceilingmeter.cpp
+++ b/src/libradishswitch/limits/ceilingmeter.cpp
@@ -37,18 +37,18 @@
     const auto it = m_meters.find(organisation);
     if (it != m_meters.end()) {
         it->second.ceilings = ceilings;
-        return applyPart(it->second, now);
+        return applyShare(it->second, now);
     }
     Meter &meter = m_meters[organisation];
     meter.ceilings = ceilings;
-    applyPart(meter, now);
+    applyShare(meter, now);
 }
 
-void CeilingMeter::setParts(double shareOfFleet, Instant now)
+void CeilingMeter::setShare(double shareOfFleet, Instant now)
 {
     m_share = std::clamp(shareOfFleet, 0.0, 1.0);
     for (auto &[organisation, meter] : m_meters) {
-        applyPart(meter, now);
+        applyShare(meter, now);
     }
 }
 
@@ -77,7 +77,7 @@
     if (meter.ceilings.tokensPerSecond > 0) {
         wait = std::max(wait, meter.tokens.waitFor(static_cast<double>(tokens), now));
     }
-    if (meter.ceilings.concurrentRequests > 0 && meter.running >= concurrentPart(meter)) {
+    if (meter.ceilings.concurrentRequests > 0 && meter.running >= concurrentLimit(meter)) {
         wait = std::max(wait, meter.meanRun / meter.running);
     }
     return wait;
@@ -108,13 +108,13 @@
     meter.meanRun += (ran - meter.meanRun) / kMeanRunWeight;
 }
 
-void CeilingMeter::applyPart(Meter &meter, Instant now)
+void CeilingMeter::applyShare(Meter &meter, Instant now)
 {
     setRate(meter.requests, meter.ceilings.requestsPerSecond * m_share, now);
     setRate(meter.tokens, meter.ceilings.tokensPerSecond * m_share, now);
 }
 
-std::int64_t CeilingMeter::concurrentPart(const Meter &meter) const
+std::int64_t CeilingMeter::concurrentLimit(const Meter &meter) const
 {
     const double part = static_cast<double>(meter.ceilings.concurrentRequests) * m_share;
     return std::max<std::int64_t>(1, static_cast<std::int64_t>(part + 1e-9));
--- a/src/libradishswitch/limits/ceilingmeter.h
+++ b/src/libradishswitch/limits/ceilingmeter.h
@@ -37,7 +37,7 @@
     void setCeilings(const OrganisationId &organisation, const OrganisationCeilings &ceilings, Instant now);
 
     /// Sets which part of every ceiling is this process's, from 0 to 1.
-    void setParts(double shareOfFleet, Instant now);
+    void setShare(double shareOfFleet, Instant now);
 
     /// Counts a request in, with its worst case in tokens, or fails with CeilingReached and the time after which it
     /// would fit. For the rates that time is exact as long as nobody else takes the room; for concurrency it is the
@@ -60,8 +60,8 @@
 
     Duration waitFor(const Meter &meter, std::int64_t tokens, Instant now) const;
     static void takeFrom(Meter &meter, std::int64_t tokens, Instant now);
-    void applyPart(Meter &meter, Instant now);
-    std::int64_t concurrentPart(const Meter &meter) const;
+    void applyShare(Meter &meter, Instant now);
+    std::int64_t concurrentLimit(const Meter &meter) const;
 
     double m_share = 1;
     absl::flat_hash_map<OrganisationId, Meter> m_meters;
--- a/src/libradishswitch/limits/endpointbackoff.cpp
+++ b/src/libradishswitch/limits/endpointbackoff.cpp
@@ -9,35 +9,35 @@
 namespace
 {
 
-constexpr int kMostRepeats = 16;
+constexpr int kMaxRepeats = 16;
 
-Duration times(Duration span, double factor)
+Duration scaled(Duration span, double factor)
 {
     return Duration(static_cast<Duration::rep>(static_cast<double>(span.count()) * factor));
 }
 
 }
 
-bool EndpointBackoff::extend(Duration span, std::size_t gateways, double chance, Instant now,
+bool EndpointBackoff::extend(Duration span, std::size_t gateways, double jitter, Instant now,
                              const EndpointBackoffSettings &settings)
 {
     const Duration bounded = std::min(span, settings.longest);
-    if (bounded <= Duration::zero() || now + bounded <= m_askedUntil) {
+    if (bounded <= Duration::zero() || now + bounded <= m_requestedUntil) {
         return false;
     }
-    if (!isOn(now)) {
-        m_repeats = m_isAwaitingReturn ? std::min(m_repeats + 1, kMostRepeats) : 0;
+    if (!isActive(now)) {
+        m_repeats = m_isAwaitingRetry ? std::min(m_repeats + 1, kMaxRepeats) : 0;
     }
-    m_isAwaitingReturn = true;
-    m_askedUntil = now + bounded;
-    m_returnAt = std::max(m_returnAt, m_askedUntil + times(spread(bounded, gateways, settings), chance));
+    m_isAwaitingRetry = true;
+    m_requestedUntil = now + bounded;
+    m_retryAt = std::max(m_retryAt, m_requestedUntil + scaled(spread(bounded, gateways, settings), jitter));
     return true;
 }
 
-void EndpointBackoff::noteTaken(Instant sentAt)
+void EndpointBackoff::noteAccepted(Instant sentAt)
 {
-    if (!isOn(sentAt)) {
-        m_isAwaitingReturn = false;
+    if (!isActive(sentAt)) {
+        m_isAwaitingRetry = false;
     }
 }
 
@@ -45,8 +45,8 @@
 Duration EndpointBackoff::spread(Duration span, std::size_t gateways, const EndpointBackoffSettings &settings) const
 {
     const auto others = static_cast<double>(std::max<std::size_t>(gateways, 1) - 1);
-    const Duration first = std::min(times(settings.returnGap, others), times(span, settings.spreadShare));
-    return std::min(times(first, std::exp2(m_repeats)), span);
+    const Duration first = std::min(scaled(settings.retryGap, others), scaled(span, settings.spreadShare));
+    return std::min(scaled(first, std::exp2(m_repeats)), span);
 }
 
 }
--- a/src/libradishswitch/limits/fairqueue.cpp
+++ b/src/libradishswitch/limits/fairqueue.cpp
@@ -22,7 +22,7 @@
 // still has time to go elsewhere.
 constexpr double kExpiryMargin = 1.25;
 constexpr double kTypicalCostStep = 0.1;
-constexpr Duration kIdleLineKept = std::chrono::seconds(60);
+constexpr Duration kIdleQueueRetention = std::chrono::seconds(60);
 constexpr Duration kLongestWait = std::chrono::hours(1);
 
 Duration scaled(Duration span, double factor)
@@ -41,7 +41,7 @@
 {
     advance(now);
     m_typicalCost += kTypicalCostStep * (static_cast<double>(request.cost) - m_typicalCost);
-    const Duration wait = waitOf(request, now);
+    const Duration wait = estimateWait(request, now);
     if (wait > scaled(request.deadline - now, kAdmissionMargin)) {
         return refusal(wait);
     }
@@ -49,26 +49,26 @@
     if (size() <= m_settings.length) {
         return absl::OkStatus();
     }
-    const QueuedRequest victim = takeLeastDeserving(now);
+    const QueuedRequest victim = evictOne(now);
     if (victim.request == request.request) {
         return refusal(wait);
     }
-    m_refusals.push_back({victim.request, refusal(waitOf(victim, now))});
+    m_refusals.push_back({victim.request, refusal(estimateWait(victim, now))});
     return absl::OkStatus();
 }
 
-std::optional<QueuedRequest> FairQueue::next(Instant now, const PoolRoom &room)
+std::optional<QueuedRequest> FairQueue::next(Instant now, const PoolSlots &slots)
 {
     advance(now);
     for (auto &[priority, band] : m_bands) {
-        while (!band.heads.empty() && isRoomFor(priority, room, now)) {
+        while (!band.heads.empty() && hasSlotFor(priority, slots, now)) {
             const OrganisationId organisation = band.heads.begin()->organisation;
-            if (band.lines.at(organisation).requests.front().deadline < now) {
+            if (band.queues.at(organisation).requests.front().deadline < now) {
                 const QueuedRequest late = take(band, organisation, 0, now);
-                m_refusals.push_back({late.request, refusal(waitOf(late, now))});
+                m_refusals.push_back({late.request, refusal(estimateWait(late, now))});
                 continue;
             }
-            band.lines.at(organisation).rate.advance(true, now);
+            band.queues.at(organisation).rate.advance(true, now);
             QueuedRequest request = serveFirst(band, now);
             m_rate.noteServed(static_cast<double>(request.cost));
             return request;
@@ -91,13 +91,13 @@
 bool FairQueue::remove(const RequestId &request, Instant now)
 {
     advance(now);
-    const auto it = m_places.find(request);
-    if (it == m_places.end()) {
+    const auto it = m_locations.find(request);
+    if (it == m_locations.end()) {
         return false;
     }
     Band &band = m_bands.at(it->second.priority);
     const OrganisationId organisation = it->second.organisation;
-    const std::deque<QueuedRequest> &requests = band.lines.at(organisation).requests;
+    const std::deque<QueuedRequest> &requests = band.queues.at(organisation).requests;
     const auto found = std::ranges::find(requests, request, &QueuedRequest::request);
     take(band, organisation, static_cast<std::size_t>(found - requests.begin()), now);
     return true;
@@ -110,56 +110,56 @@
     if (band == m_bands.end()) {
         return;
     }
-    const auto it = band->second.lines.find(organisation);
-    if (it == band->second.lines.end()) {
+    const auto it = band->second.queues.find(organisation);
+    if (it == band->second.queues.end()) {
         return;
     }
-    Line &line = it->second;
-    const double difference = static_cast<double>(actual - estimated) / line.share;
-    line.lastFinish += difference;
-    if (line.requests.empty()) {
+    OrganisationQueue &queue = it->second;
+    const double difference = static_cast<double>(actual - estimated) / queue.share;
+    queue.lastFinish += difference;
+    if (queue.requests.empty()) {
         return;
     }
-    band->second.heads.erase({line.headStart, organisation});
-    line.headStart = std::max(band->second.virtualTime, line.headStart + difference);
-    band->second.heads.insert({line.headStart, organisation});
+    band->second.heads.erase({queue.headStart, organisation});
+    queue.headStart = std::max(band->second.virtualTime, queue.headStart + difference);
+    band->second.heads.insert({queue.headStart, organisation});
 }
 
 Duration FairQueue::expectedWait(const QueuedRequest &request, Instant now)
 {
     advance(now);
-    return waitOf(request, now);
+    return estimateWait(request, now);
 }
 
 void FairQueue::add(const QueuedRequest &request, Instant now)
 {
     Band &band = m_bands[request.priority];
     band.lastRequest = now;
-    Line &line = band.lines[request.organisation];
-    line.rate.advance(!line.requests.empty(), now);
-    line.share = std::max(request.share, 1e-3);
-    if (line.requests.empty()) {
-        line.headStart = std::max(band.virtualTime, line.lastFinish);
-        band.heads.insert({line.headStart, request.organisation});
+    OrganisationQueue &queue = band.queues[request.organisation];
+    queue.rate.advance(!queue.requests.empty(), now);
+    queue.share = std::max(request.share, 1e-3);
+    if (queue.requests.empty()) {
+        queue.headStart = std::max(band.virtualTime, queue.lastFinish);
+        band.heads.insert({queue.headStart, request.organisation});
     }
-    line.requests.push_back(request);
-    line.cost += static_cast<double>(request.cost);
+    queue.requests.push_back(request);
+    queue.cost += static_cast<double>(request.cost);
     band.cost += static_cast<double>(request.cost);
-    m_places[request.request] = {request.priority, request.organisation};
+    m_locations[request.request] = {request.priority, request.organisation};
 }
 
 QueuedRequest FairQueue::take(Band &band, const OrganisationId &organisation, std::size_t index, Instant now)
 {
-    Line &line = band.lines.at(organisation);
-    line.rate.advance(true, now);
-    line.lastUsed = now;
-    QueuedRequest request = std::move(line.requests[index]);
-    line.requests.erase(line.requests.begin() + static_cast<std::ptrdiff_t>(index));
-    line.cost -= static_cast<double>(request.cost);
+    OrganisationQueue &queue = band.queues.at(organisation);
+    queue.rate.advance(true, now);
+    queue.lastUsed = now;
+    QueuedRequest request = std::move(queue.requests[index]);
+    queue.requests.erase(queue.requests.begin() + static_cast<std::ptrdiff_t>(index));
+    queue.cost -= static_cast<double>(request.cost);
     band.cost -= static_cast<double>(request.cost);
-    m_places.erase(request.request);
-    if (line.requests.empty()) {
-        band.heads.erase({line.headStart, organisation});
+    m_locations.erase(request.request);
+    if (queue.requests.empty()) {
+        band.heads.erase({queue.headStart, organisation});
     }
     return request;
 }
@@ -167,29 +167,29 @@
 QueuedRequest FairQueue::serveFirst(Band &band, Instant now)
 {
     const Head head = *band.heads.begin();
-    Line &line = band.lines.at(head.organisation);
+    OrganisationQueue &queue = band.queues.at(head.organisation);
     QueuedRequest request = take(band, head.organisation, 0, now);
     band.virtualTime = std::max(band.virtualTime, head.start);
-    line.lastFinish = head.start + static_cast<double>(request.cost) / line.share;
-    line.rate.noteServed(static_cast<double>(request.cost));
-    if (!line.requests.empty()) {
+    queue.lastFinish = head.start + static_cast<double>(request.cost) / queue.share;
+    queue.rate.noteServed(static_cast<double>(request.cost));
+    if (!queue.requests.empty()) {
         band.heads.erase(head);
-        line.headStart = line.lastFinish;
-        band.heads.insert({line.headStart, head.organisation});
+        queue.headStart = queue.lastFinish;
+        band.heads.insert({queue.headStart, head.organisation});
     }
     return request;
 }
 
-QueuedRequest FairQueue::takeLeastDeserving(Instant now)
+QueuedRequest FairQueue::evictOne(Instant now)
 {
     const auto lowest = std::find_if(m_bands.rbegin(), m_bands.rend(), [](const auto &entry) {
         return !entry.second.heads.empty();
     });
     Band &band = lowest->second;
-    const auto greediest = std::ranges::max_element(band.lines, {}, [](const auto &entry) {
+    const auto mostBacklogged = std::ranges::max_element(band.queues, {}, [](const auto &entry) {
         return entry.second.requests.empty() ? -1 : entry.second.cost / entry.second.share;
     });
-    return take(band, greediest->first, greediest->second.requests.size() - 1, now);
+    return take(band, mostBacklogged->first, mostBacklogged->second.requests.size() - 1, now);
 }
 
 double FairQueue::costAhead(const QueuedRequest &request) const
@@ -204,35 +204,35 @@
     if (band == m_bands.end()) {
         return cost;
     }
-    const auto own = band->second.lines.find(request.organisation);
-    const double waiting = own == band->second.lines.end() ? 0 : own->second.cost;
-    for (const auto &[organisation, line] : band->second.lines) {
-        cost += std::min(line.cost, waiting / request.share * line.share);
+    const auto own = band->second.queues.find(request.organisation);
+    const double waiting = own == band->second.queues.end() ? 0 : own->second.cost;
+    for (const auto &[organisation, queue] : band->second.queues) {
+        cost += std::min(queue.cost, waiting / request.share * queue.share);
     }
     return cost;
 }
 
-Duration FairQueue::waitOf(const QueuedRequest &request, Instant now)
+Duration FairQueue::estimateWait(const QueuedRequest &request, Instant now)
 {
-    const Duration wait = waitFor(m_rate, costAhead(request));
+    const Duration wait = timeToServe(m_rate, costAhead(request));
     const auto band = m_bands.find(request.priority);
     if (band == m_bands.end()) {
         return wait;
     }
-    const auto it = band->second.lines.find(request.organisation);
-    if (it == band->second.lines.end()) {
+    const auto it = band->second.queues.find(request.organisation);
+    if (it == band->second.queues.end()) {
         return wait;
     }
     // What waits now tells nothing of what others will send while this request waits, and they go first by their
-    // priority or their share. How fast the line has been moving does.
-    Line &line = it->second;
-    line.rate.advance(!line.requests.empty(), now);
-    // A line of few requests moves by fits and starts: n services vary by about the root of n.
-    const double spread = std::sqrt(line.cost * m_typicalCost);
-    return std::max(wait, waitFor(line.rate, line.cost + spread));
+    // priority or their share. How fast the queue has been moving does.
+    OrganisationQueue &queue = it->second;
+    queue.rate.advance(!queue.requests.empty(), now);
+    // A queue of few requests moves by fits and starts: n services vary by about the root of n.
+    const double spread = std::sqrt(queue.cost * m_typicalCost);
+    return std::max(wait, timeToServe(queue.rate, queue.cost + spread));
 }
 
-Duration FairQueue::waitFor(const ServiceRate &measured, double cost) const
+Duration FairQueue::timeToServe(const ServiceRate &measured, double cost) const
 {
     const std::optional<double> rate = measured.perSecond(m_typicalCost);
     if (!rate || cost <= 0) {
@@ -245,28 +245,28 @@
 void FairQueue::expireBand(Band &band, double costAbove, Instant now)
 {
     FluidBacklog backlog;
-    for (const auto &[organisation, line] : band.lines) {
-        backlog.add(line.cost, line.share);
+    for (const auto &[organisation, queue] : band.queues) {
+        backlog.add(queue.cost, queue.share);
     }
     backlog.prepare();
-    for (auto &[organisation, line] : band.lines) {
-        line.rate.advance(!line.requests.empty(), now);
+    for (auto &[organisation, queue] : band.queues) {
+        queue.rate.advance(!queue.requests.empty(), now);
         double ahead = 0;
-        for (std::size_t i = 0; i < line.requests.size();) {
-            const Duration byQueue = waitFor(m_rate, costAbove + backlog.servedAt(ahead / line.share));
-            const Duration wait = std::max(byQueue, waitFor(line.rate, ahead));
-            if (now + scaled(wait, kExpiryMargin) <= line.requests[i].deadline) {
-                ahead += static_cast<double>(line.requests[i].cost);
+        for (std::size_t i = 0; i < queue.requests.size();) {
+            const Duration byQueue = timeToServe(m_rate, costAbove + backlog.servedAt(ahead / queue.share));
+            const Duration wait = std::max(byQueue, timeToServe(queue.rate, ahead));
+            if (now + scaled(wait, kExpiryMargin) <= queue.requests[i].deadline) {
+                ahead += static_cast<double>(queue.requests[i].cost);
                 ++i;
                 continue;
             }
             m_refusals.push_back({take(band, organisation, i, now).request, refusal(wait)});
         }
     }
-    // An idle line is kept for a while for its rate, and while it is ahead of the others.
-    std::erase_if(band.lines, [&](const auto &entry) {
-        const Line &line = entry.second;
-        return line.requests.empty() && line.lastFinish <= band.virtualTime && now - line.lastUsed >= kIdleLineKept;
+    // An idle queue is kept for a while for its rate, and while it is ahead of the others.
+    std::erase_if(band.queues, [&](const auto &entry) {
+        const OrganisationQueue &queue = entry.second;
+        return queue.requests.empty() && queue.lastFinish <= band.virtualTime && now - queue.lastUsed >= kIdleQueueRetention;
     });
 }
 
@@ -277,15 +277,15 @@
                        std::chrono::ceil<std::chrono::milliseconds>(bounded));
 }
 
-bool FairQueue::isRoomFor(int priority, const PoolRoom &room, Instant now) const
+bool FairQueue::hasSlotFor(int priority, const PoolSlots &slots, Instant now) const
 {
     // When all slots are taken by low priorities, a request of a high one waits for the first of them to end. With a
     // slot in reserve it waits only for another one of its own kind.
     const bool isHigherInUse = std::ranges::any_of(m_bands, [&](const auto &entry) {
         return entry.first > priority && now - entry.second.lastRequest < m_settings.reservedFor;
     });
-    const auto reserved = static_cast<std::int64_t>(m_settings.reservedShare * static_cast<double>(room.own));
-    return room.free > (isHigherInUse ? reserved : 0);
+    const auto reserved = static_cast<std::int64_t>(m_settings.reservedShare * static_cast<double>(slots.own));
+    return slots.free > (isHigherInUse ? reserved : 0);
 }
 
 void FairQueue::advance(Instant now)
--- a/src/libradishswitch/limits/fairqueue.h
+++ b/src/libradishswitch/limits/fairqueue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "limits/poolroom.h"
+#include "limits/poolslots.h"
 #include "limits/queuedrequest.h"
 #include "limits/servicerate.h"
 
@@ -32,7 +32,7 @@
 /// The requests that wait for slots of one pool: the highest priority first; within a priority the organisations by
 /// their shares, counted in tokens (start-time fair queueing); within an organisation in order of arrival.
 ///
-/// A request whose turn will not come before its deadline, by the rates at which the queue and its organisation's line
+/// A request whose turn will not come before its deadline, by the rates at which the queue and its organisation's queue
 /// have been served, is refused at once with Overloaded and the time to come back. When the queue is full, the lowest
 /// priority gives way, in it the organisation that has the most waiting for its share, and of that the newest request.
 class FairQueue
@@ -49,9 +49,9 @@
     /// Takes the request in, or refuses it at once. Taking it in may make others give way: ask `expire` right after.
     absl::Status enqueue(const QueuedRequest &request, Instant now);
 
-    /// The next request to be served in the room that there is, if there is one. The last free slots are kept for a
+    /// The next request to be served in the slots that there is, if there is one. The last free slots are kept for a
     /// higher priority that has been in use lately.
-    std::optional<QueuedRequest> next(Instant now, const PoolRoom &room = {});
+    std::optional<QueuedRequest> next(Instant now, const PoolSlots &slots = {});
 
     /// The final answers that have become due: requests that gave way, and those that can't make their deadline any
     /// more. Call it after each `enqueue` and every 50 ms or so.
@@ -68,23 +68,23 @@
 
     std::size_t size() const
     {
-        return m_places.size();
+        return m_locations.size();
     }
 
 private:
-    struct Line {
+    struct OrganisationQueue {
         std::deque<QueuedRequest> requests;
         double share = 1;
         double cost = 0;
         /// Virtual times of the request at the head and of the one served last.
         double headStart = 0;
         double lastFinish = 0;
-        /// How fast this line has been served while something waited in it.
+        /// How fast this queue has been served while something waited in it.
         ServiceRate rate;
         Instant lastUsed{};
     };
 
-    struct Place {
+    struct Location {
         int priority = 0;
         OrganisationId organisation;
     };
@@ -99,9 +99,9 @@
         }
     };
 
-    /// One priority: a line for each organisation, and the lines by the virtual start of their heads.
+    /// One priority: a queue for each organisation, and the queues by the virtual start of their heads.
     struct Band {
-        std::map<OrganisationId, Line> lines;
+        std::map<OrganisationId, OrganisationQueue> queues;
         std::set<Head> heads;
         double virtualTime = 0;
         double cost = 0;
@@ -113,18 +113,18 @@
     void add(const QueuedRequest &request, Instant now);
     QueuedRequest take(Band &band, const OrganisationId &organisation, std::size_t index, Instant now);
     QueuedRequest serveFirst(Band &band, Instant now);
-    QueuedRequest takeLeastDeserving(Instant now);
+    QueuedRequest evictOne(Instant now);
     double costAhead(const QueuedRequest &request) const;
-    Duration waitOf(const QueuedRequest &request, Instant now);
-    Duration waitFor(const ServiceRate &rate, double cost) const;
+    Duration estimateWait(const QueuedRequest &request, Instant now);
+    Duration timeToServe(const ServiceRate &rate, double cost) const;
     void expireBand(Band &band, double costAbove, Instant now);
     absl::Status refusal(Duration wait) const;
-    bool isRoomFor(int priority, const PoolRoom &room, Instant now) const;
+    bool hasSlotFor(int priority, const PoolSlots &slots, Instant now) const;
     void advance(Instant now);
 
     FairQueueSettings m_settings;
     Bands m_bands;
-    absl::flat_hash_map<RequestId, Place> m_places;
+    absl::flat_hash_map<RequestId, Location> m_locations;
     std::vector<QueueRefusal> m_refusals;
     ServiceRate m_rate;
     double m_typicalCost = 1;
--- a/src/libradishswitch/limits/linkshedder.h
+++ b/src/libradishswitch/limits/linkshedder.h
@@ -15,7 +15,7 @@
 /// The link's queue grows to half a second while the processor has time to spare: connections to endpoints and answers
 /// of budgets' homes come too late, and so does a new configuration. Callers wait until their deadline.
 ///
-/// The measure is how much longer new connections take than the quickest into the same availability zone did. Each
+/// The measure is how much longer new connections take than the shortest into the same availability zone did. Each
 /// passes the link both ways and waits for nobody's work. One endpoint that takes connections late, or none, says
 /// nothing of the link: only when each of the last connections was late, whatever endpoint it led to, is the link.
 class LinkShedder
@@ -39,16 +39,16 @@
     }
 
     /// Whether new callers should be sent to other instances.
-    bool isAway(Instant now) const
+    bool isDiverting(Instant now) const
     {
-        return m_shedder.isAway(now);
+        return m_shedder.isDiverting(now);
     }
 
 private:
     const Duration m_target;
     LoadShedder m_shedder;
-    absl::flat_hash_map<std::string, Duration> m_quickest;
-    int m_lateInARow = 0;
+    absl::flat_hash_map<std::string, Duration> m_shortestTimes;
+    int m_consecutiveLate = 0;
 };
 
 }
--- a/src/libradishswitch/limits/loadshedder.cpp
+++ b/src/libradishswitch/limits/loadshedder.cpp
@@ -13,17 +13,17 @@
     m_measuredAt = now;
     if (delay < m_settings.target) {
         m_lateSince.reset();
-        const auto calm = std::chrono::duration_cast<Duration>(m_settings.target * m_settings.calmShare);
-        m_isShedding = m_isShedding && delay > calm;
+        const auto recovered = std::chrono::duration_cast<Duration>(m_settings.target * m_settings.recoveryShare);
+        m_isShedding = m_isShedding && delay > recovered;
         return;
     }
     if (!m_lateSince) {
         m_lateSince = now;
     }
-    m_isShedding = m_isShedding || isInEpisode(now) || now - *m_lateSince >= m_settings.patience;
+    m_isShedding = m_isShedding || isOverloadOngoing(now) || now - *m_lateSince >= m_settings.overloadAfter;
 }
 
-void LoadShedder::noteWaiting(Duration waited, Instant now)
+void LoadShedder::noteOverdue(Duration waited, Instant now)
 {
     if (waited >= m_settings.target) {
         noteDelay(waited, now);
@@ -32,27 +32,27 @@
 
 bool LoadShedder::isShedding(Instant now) const
 {
-    return m_isShedding && now - m_measuredAt < m_settings.memory;
+    return m_isShedding && now - m_measuredAt < m_settings.measurementLifetime;
 }
 
 void LoadShedder::noteRefused(Instant now)
 {
-    if (!isInEpisode(now)) {
-        m_episodeBegan = now;
-        m_isAway = false;
+    if (!isOverloadOngoing(now)) {
+        m_overloadBegan = now;
+        m_isDiverting = false;
     }
     m_lastRefusal = now;
-    m_isAway = m_isAway || now - m_episodeBegan >= m_settings.awayAfter;
+    m_isDiverting = m_isDiverting || now - m_overloadBegan >= m_settings.divertAfter;
 }
 
-bool LoadShedder::isAway(Instant now) const
+bool LoadShedder::isDiverting(Instant now) const
 {
-    return m_isAway && now - *m_lastRefusal < m_settings.awayFor;
+    return m_isDiverting && now - *m_lastRefusal < m_settings.divertFor;
 }
 
-bool LoadShedder::isInEpisode(Instant now) const
+bool LoadShedder::isOverloadOngoing(Instant now) const
 {
-    return m_lastRefusal && now - *m_lastRefusal < m_settings.episodeGap;
+    return m_lastRefusal && now - *m_lastRefusal < m_settings.overloadGap;
 }
 
 }
--- a/src/libradishswitch/limits/loadshedder.h
+++ b/src/libradishswitch/limits/loadshedder.h
@@ -13,18 +13,18 @@
     Duration target = std::chrono::milliseconds(60);
     /// Later than that at each measurement for so long, it takes no more. A single late one is a process that stood
     /// still, a quota that was used up or a large configuration that was read, and ends by itself.
-    Duration patience = std::chrono::milliseconds(120);
+    Duration overloadAfter = std::chrono::milliseconds(120);
     /// Requests are taken again once the process is late by no more than this part of the target.
-    double calmShare = 0.5;
+    double recoveryShare = 0.5;
     /// A measurement says nothing after so long.
-    Duration memory = std::chrono::milliseconds(500);
+    Duration measurementLifetime = std::chrono::milliseconds(500);
     /// After so long without a refusal overload counts as over; until then one late measurement is enough.
-    Duration episodeGap = std::chrono::seconds(1);
+    Duration overloadGap = std::chrono::seconds(1);
     /// Overload that lasts so long won't pass by itself: new callers should be sent elsewhere.
-    Duration awayAfter = std::chrono::milliseconds(500);
+    Duration divertAfter = std::chrono::milliseconds(500);
     /// For so long after the last refusal. A balancer takes two seconds to notice, and as long to come back; shorter,
     /// the instance would be back in use before it was out of it.
-    Duration awayFor = std::chrono::seconds(3);
+    Duration divertFor = std::chrono::seconds(3);
 
     bool operator==(const LoadShedderSettings &) const = default;
 };
@@ -48,7 +48,7 @@
 
     /// A task that was due so long ago has not run yet. Without it a line that grows fourfold each time it is worked
     /// off would be measured again only at its end.
-    void noteWaiting(Duration waited, Instant now);
+    void noteOverdue(Duration waited, Instant now);
 
     /// Whether new requests are to be refused.
     bool isShedding(Instant now) const;
@@ -57,10 +57,10 @@
     void noteRefused(Instant now);
 
     /// Whether new callers should be sent to other instances.
-    bool isAway(Instant now) const;
+    bool isDiverting(Instant now) const;
 
 private:
-    bool isInEpisode(Instant now) const;
+    bool isOverloadOngoing(Instant now) const;
 
     const LoadShedderSettings m_settings;
     /// Since when each measurement was above the target.
@@ -68,9 +68,9 @@
     Instant m_measuredAt = Instant::min();
     bool m_isShedding = false;
     /// First and last refusal of the overload at hand.
-    Instant m_episodeBegan = Instant::min();
+    Instant m_overloadBegan = Instant::min();
     std::optional<Instant> m_lastRefusal;
-    bool m_isAway = false;
+    bool m_isDiverting = false;
 };
 
 }
--- a/src/libradishswitch/limits/poolroom.h
+++ b/src/libradishswitch/limits/poolslots.h
@@ -7,13 +7,13 @@
 {
 
 /// The slots of a pool that one process may use.
-struct PoolRoom {
+struct PoolSlots {
     /// Runs that it should start now at most.
     std::int64_t free = std::numeric_limits<std::int64_t>::max();
     /// Its own slots, free or not.
     std::int64_t own = 0;
 
-    bool operator==(const PoolRoom &) const = default;
+    bool operator==(const PoolSlots &) const = default;
 };
 
 }
--- a/src/libradishswitch/limits/refusalpause.h
+++ b/src/libradishswitch/limits/refusalpause.h
@@ -25,7 +25,7 @@
     void noteRefused(const RefusalPauseSettings &settings, Instant now)
     {
         // Calls that were under way together are turned away together.
-        if (isOn(now)) {
+        if (isActive(now)) {
             return;
         }
         m_span = m_span == Duration::zero() ? settings.first : std::min(2 * m_span, settings.longest);
@@ -35,7 +35,7 @@
 
     /// A call was taken. One that was sent before the refusal says nothing: long answers go on while all that is new is
     /// turned away.
-    void noteTaken(Instant sentAt)
+    void noteAccepted(Instant sentAt)
     {
         if (sentAt >= m_refusedAt) {
             m_span = Duration::zero();
@@ -43,7 +43,7 @@
         }
     }
 
-    bool isOn(Instant now) const
+    bool isActive(Instant now) const
     {
         return now < m_until;
     }
--- a/src/libradishswitch/limits/retrybudget.cpp
+++ b/src/libradishswitch/limits/retrybudget.cpp
@@ -47,8 +47,8 @@
 
 Duration RetryBudget::backoff(int attempts)
 {
-    constexpr int kMostDoublings = 20;
-    const Duration span = m_settings.firstBackoff * (1 << std::clamp(attempts - 1, 0, kMostDoublings));
+    constexpr int kMaxDoublings = 20;
+    const Duration span = m_settings.firstBackoff * (1 << std::clamp(attempts - 1, 0, kMaxDoublings));
     const Duration longest = std::min(span, m_settings.longestBackoff);
     // Half of it is fixed and half random: requests that failed together do not come back together.
     const double factor = 0.5 + 0.5 * m_random.fraction();
--- a/src/libradishswitch/limits/servicerate.h
+++ b/src/libradishswitch/limits/servicerate.h
@@ -30,14 +30,14 @@
         double cost;
     };
 
-    void forgetOld();
+    void dropOldServices();
 
     /// Counts busy time only.
-    Duration m_busy{};
-    Duration m_begin{};
+    Duration m_busyTime{};
+    Duration m_windowBegin{};
     std::deque<Service> m_services;
     double m_cost = 0;
-    Instant m_at{};
+    Instant m_advancedAt{};
 };
 
 }
--- a/src/libradishswitch/routing/poolrouter.cpp
+++ b/src/libradishswitch/routing/poolrouter.cpp
@@ -102,9 +102,9 @@
     return room(pool).free;
 }
 
-PoolRoom PoolRouter::room(const PoolId &pool) const
+PoolSlots PoolRouter::room(const PoolId &pool) const
 {
-    PoolRoom room{0, 0};
+    PoolSlots room{0, 0};
     double reportedFree = 0;
     for (const EndpointSlot slot : m_directory.serving(pool, {})) {
         if (!m_directory.isEligible(slot, m_latest) || m_uses[slot].ejection().isEjected(m_latest)) {
--- a/src/libradishswitch/routing/poolrouter.h
+++ b/src/libradishswitch/routing/poolrouter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/randomsource.h"
-#include "limits/poolroom.h"
+#include "limits/poolslots.h"
 #include "routing/ejectionsettings.h"
 #include "routing/endpointdirectory.h"
 #include "routing/endpointuse.h"
@@ -50,7 +50,7 @@
     std::int64_t freeSlots(const PoolId &pool) const;
 
     /// The same with the number of own slots, as the fair queue wants it.
-    PoolRoom room(const PoolId &pool) const;
+    PoolSlots room(const PoolId &pool) const;
 
     /// Which of the endpoints' slots are this process's own, when all are busy: it is number `rank`, from zero, of
     /// `count` processes that use the same endpoints. Each slot is the own slot of just one of them, so that together
--- a/src/libradishswitch/serving/callplacement.cpp
+++ b/src/libradishswitch/serving/callplacement.cpp
@@ -61,7 +61,7 @@
     const std::vector<EndpointSlot> &slots = m_roster.pool(query.pool);
     const bool isUsualBusy = std::ranges::any_of(slots, [&](EndpointSlot slot) {
         const RosterEndpoint &it = m_roster.at(slot);
-        return m_admission.isInUse(slot, query, now) && (it.inFlight > 0 || it.backoff.isOn(now));
+        return m_admission.isInUse(slot, query, now) && (it.inFlight > 0 || it.backoff.isActive(now));
     });
     return isUsualBusy ? std::nullopt : cheapest(query, Choosiness::AnyAlive, now);
 }
@@ -81,10 +81,10 @@
             continue;
         }
         const EndpointBackoff &backoff = m_roster.at(slot).backoff;
-        if (!backoff.isOn(now)) {
+        if (!backoff.isActive(now)) {
             return std::nullopt;
         }
-        first = std::min(first.value_or(backoff.returnAt()), backoff.returnAt());
+        first = std::min(first.value_or(backoff.retryAt()), backoff.retryAt());
     }
     return first ? std::optional<Duration>(*first - now) : std::nullopt;
 }
@@ -142,7 +142,7 @@
     for (const EndpointSlot slot : m_roster.pool(query.pool)) {
         const bool isEligible = choosiness == Choosiness::Usual ? m_admission.isInUse(slot, query, now)
                                                                 : m_admission.isOpen(slot, query, now);
-        if (!isEligible || m_roster.at(slot).backoff.isOn(now)) {
+        if (!isEligible || m_roster.at(slot).backoff.isActive(now)) {
             continue;
         }
         const std::uint64_t score = rendezvousScore(m_roster.at(slot).hash, key);
@@ -200,7 +200,7 @@
     std::optional<double> least;
     for (const EndpointSlot slot : m_roster.pool(query.pool)) {
         if (isCandidate(slot, query, Choosiness::Usual, now)) {
-            const double pressure = m_roster.at(slot).pressure.value(now);
+            const double pressure = m_roster.at(slot).pressure.refusalShare(now);
             least = least ? std::min(*least, pressure) : pressure;
         }
     }
@@ -280,7 +280,7 @@
 bool CallPlacement::noteBackoff(EndpointSlot slot, Duration backoff, std::size_t gateways, Instant now)
 {
     RosterEndpoint &it = m_roster.at(slot);
-    const bool wasBackedOff = it.backoff.isOn(now);
+    const bool wasBackedOff = it.backoff.isActive(now);
     if (!it.backoff.extend(backoff, gateways, m_random.fraction(), now, m_settings.backoff)) {
         return false;
     }
@@ -293,8 +293,8 @@
 
 void CallPlacement::noteTaken(EndpointSlot slot, Instant sentAt)
 {
-    m_roster.at(slot).backoff.noteTaken(sentAt);
-    m_roster.at(slot).pause.noteTaken(sentAt);
+    m_roster.at(slot).backoff.noteAccepted(sentAt);
+    m_roster.at(slot).pause.noteAccepted(sentAt);
 }
 
 void CallPlacement::noteFailed(EndpointSlot slot, Instant now)
--- a/src/libradishswitch/serving/coalescingstore.cpp
+++ b/src/libradishswitch/serving/coalescingstore.cpp
@@ -5,32 +5,32 @@
 
 void CoalescingStore::list(const std::string &prefix, Callback<StoreChanges> callback)
 {
-    const Question question{prefix, std::nullopt};
-    if (join(question, std::move(callback))) {
-        store().list(prefix, answerTo(question));
+    const Query query{prefix, std::nullopt};
+    if (join(query, std::move(callback))) {
+        store().list(prefix, makeAnswerCallback(query));
     }
 }
 
 void CoalescingStore::watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback)
 {
-    const Question question{prefix, fromVersion};
-    if (join(question, std::move(callback))) {
-        store().watch(prefix, fromVersion, answerTo(question));
+    const Query query{prefix, fromVersion};
+    if (join(query, std::move(callback))) {
+        store().watch(prefix, fromVersion, makeAnswerCallback(query));
     }
 }
 
-bool CoalescingStore::join(const Question &question, Callback<StoreChanges> callback)
+bool CoalescingStore::join(const Query &query, Callback<StoreChanges> callback)
 {
-    std::vector<Callback<StoreChanges>> &waiting = (*m_asking)[question];
+    std::vector<Callback<StoreChanges>> &waiting = (*m_pending)[query];
     waiting.push_back(std::move(callback));
     return waiting.size() == 1;
 }
 
-ObjectStore::Callback<StoreChanges> CoalescingStore::answerTo(const Question &question)
+ObjectStore::Callback<StoreChanges> CoalescingStore::makeAnswerCallback(const Query &query)
 {
-    return [question, asking = m_asking](const absl::StatusOr<StoreChanges> &changes) {
+    return [query, pending = m_pending](const absl::StatusOr<StoreChanges> &changes) {
         // Those that ask again from their callbacks want news from after this answer.
-        const auto node = asking->extract(question);
+        const auto node = pending->extract(query);
         for (const Callback<StoreChanges> &callback : node.mapped()) {
             callback(changes);
         }
--- a/src/libradishswitch/serving/coalescingstore.h
+++ b/src/libradishswitch/serving/coalescingstore.h
@@ -12,7 +12,7 @@
 namespace RadishSwitch
 {
 
-/// A store of which the same question, asked again while its answer is on the way, is asked once.
+/// A store of which the same query, asked again while its answer is on the way, is asked once.
 ///
 /// Load pattern: a third of the gateways are turned away by the store and read it through a home, all of one
 /// availability zone through the same one. Each has a watch of the configuration and one of the endpoints there, twice
@@ -27,15 +27,15 @@
 
 private:
     /// A prefix, and the version from which it is watched; without one it is listed.
-    using Question = std::pair<std::string, std::optional<std::uint64_t>>;
-    using Asking = std::map<Question, std::vector<Callback<StoreChanges>>>;
+    using Query = std::pair<std::string, std::optional<std::uint64_t>>;
+    using PendingCalls = std::map<Query, std::vector<Callback<StoreChanges>>>;
 
-    /// Adds to those that wait for an answer. Whether the question is to be asked.
-    bool join(const Question &question, Callback<StoreChanges> callback);
-    Callback<StoreChanges> answerTo(const Question &question);
+    /// Adds to those that wait for an answer. Whether the query is to be asked.
+    bool join(const Query &query, Callback<StoreChanges> callback);
+    Callback<StoreChanges> makeAnswerCallback(const Query &query);
 
     /// Shared with the calls under way, which may outlive this.
-    std::shared_ptr<Asking> m_asking = std::make_shared<Asking>();
+    std::shared_ptr<PendingCalls> m_pending = std::make_shared<PendingCalls>();
 };
 
 }
--- a/src/libradishswitch/serving/endpointadmission.cpp
+++ b/src/libradishswitch/serving/endpointadmission.cpp
@@ -31,13 +31,13 @@
     if (!isOpenStanding(standing)) {
         return Admission::Closed;
     }
-    if (it.backoff.isOn(now)) {
+    if (it.backoff.isActive(now)) {
         return Admission::BackedOff;
     }
     if (std::ranges::find(query.excluded, it.listing.id) != query.excluded.end()) {
         return Admission::Tried;
     }
-    if (it.inFlight >= static_cast<int>(it.limit) || it.pause.isOn(now)) {
+    if (it.inFlight >= static_cast<int>(it.limit) || it.pause.isActive(now)) {
         return Admission::Full;
     }
     if (isPartUsedUp(slot, now)) {
@@ -63,7 +63,7 @@
 
 bool EndpointAdmission::mayStillBeSent(EndpointSlot slot, Instant now) const
 {
-    return isOpenStanding(m_roster.standing(slot, now)) && !m_roster.at(slot).backoff.isOn(now);
+    return isOpenStanding(m_roster.standing(slot, now)) && !m_roster.at(slot).backoff.isActive(now);
 }
 
 // Sent more than it bears while it is cold, an endpoint crashes, and its calls with it. One that names a limit is in
--- a/src/libradishswitch/serving/endpointroster.cpp
+++ b/src/libradishswitch/serving/endpointroster.cpp
@@ -300,7 +300,7 @@
 std::size_t EndpointRoster::countBackedOff(Instant now) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(m_endpoints, [now](const auto &endpoint) {
-        return endpoint && endpoint->backoff.isOn(now);
+        return endpoint && endpoint->backoff.isActive(now);
     }));
 }
 
--- a/src/libradishswitch/serving/endpointroster.h
+++ b/src/libradishswitch/serving/endpointroster.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "limits/answerpressure.h"
+#include "limits/endpointoverload.h"
 #include "limits/endpointbackoff.h"
 #include "limits/refusalpause.h"
-#include "limits/slidingcount.h"
+#include "limits/slidingwindowcounter.h"
 #include "routing/endpointejection.h"
 #include "routing/endpointstate.h"
 #include "serving/endpointlisting.h"
@@ -93,12 +93,12 @@
     /// Until when it is taken for cold; the earliest moment where it is warm.
     Instant coldUntil = Instant::min();
     /// Calls that this process has sent here while it was cold.
-    SlidingCount coldCalls{kColdCallSpan};
+    SlidingWindowCounter coldCalls{kColdCallSpan};
     /// Calls a second from all callers together that it says it takes; nothing while it names no limit. As of when.
     std::optional<double> namedLimit;
     Instant namedLimitAt = Instant::min();
     /// Calls that this process has sent here while it named a limit.
-    SlidingCount limitedCalls{kNamedLimitSpan + kNamedLimitMargin};
+    SlidingWindowCounter limitedCalls{kNamedLimitSpan + kNamedLimitMargin};
     /// While it is on, the endpoint has asked to be sent nothing by this process.
     EndpointBackoff backoff;
     /// After it has turned calls away without a time.
@@ -116,7 +116,7 @@
     double delaySeconds = 0;
     Instant delayNotedAt{};
     /// By the answers of calls that tell it.
-    AnswerPressure pressure;
+    EndpointOverload pressure;
     EndpointEjection ejection;
 };
 
--- a/src/libradishswitch/serving/eventcutter.cpp
+++ b/src/libradishswitch/serving/eventsplitter.cpp
@@ -1,4 +1,4 @@
-#include "serving/eventcutter.h"
+#include "serving/eventsplitter.h"
 
 #include <absl/strings/numbers.h>
 #include <absl/strings/string_view.h>
@@ -35,33 +35,33 @@
 
 }
 
-EventCutter::EventCutter(std::optional<std::uint64_t> lastEvent)
+EventSplitter::EventSplitter(std::optional<std::uint64_t> lastEvent)
     : m_lastEvent(lastEvent)
     , m_isResumed(lastEvent.has_value())
 {
 }
 
-std::string EventCutter::take(std::string_view bytes)
+std::string EventSplitter::take(std::string_view bytes)
 {
-    std::string whole;
-    m_tail.append(bytes);
+    std::string events;
+    m_partialEvent.append(bytes);
     std::size_t begin = 0;
     while (!m_hasGap) {
-        const std::size_t end = m_tail.find(kEventEnd, begin);
+        const std::size_t end = m_partialEvent.find(kEventEnd, begin);
         if (end == std::string::npos) {
             break;
         }
-        const std::string_view event = std::string_view(m_tail).substr(begin, end + kEventEnd.size() - begin);
-        if (admit(event)) {
-            whole.append(event);
+        const std::string_view event = std::string_view(m_partialEvent).substr(begin, end + kEventEnd.size() - begin);
+        if (accept(event)) {
+            events.append(event);
         }
         begin = end + kEventEnd.size();
     }
-    m_tail.erase(0, begin);
-    return whole;
+    m_partialEvent.erase(0, begin);
+    return events;
 }
 
-bool EventCutter::admit(std::string_view event)
+bool EventSplitter::accept(std::string_view event)
 {
     const std::optional<std::uint64_t> id = idOf(event);
     if (!id) {
@@ -79,9 +79,9 @@
     return true;
 }
 
-void EventCutter::restart()
+void EventSplitter::restart()
 {
-    m_tail.clear();
+    m_partialEvent.clear();
     m_isResumed = true;
     m_hasGap = false;
 }
--- a/src/libradishswitch/serving/homedirectory.cpp
+++ b/src/libradishswitch/serving/homedirectory.cpp
@@ -15,12 +15,12 @@
 
 constexpr std::string_view kWatchKey = "watch";
 
-/// Of each kind of process so many are kept in the order of a key. As many must be unreachable at once before all have
-/// to be ranked.
-constexpr std::size_t kKeptOfEachKind = 24;
+/// Of each kind of process so many are kept in the ranking of a key. As many must be unreachable at once before all have
+/// to be makeRanking.
+constexpr std::size_t kRankedPerKind = 24;
 
 /// Keys are those of the ledger's shards.
-constexpr std::size_t kMostOrders = 1000;
+constexpr std::size_t kMaxRankings = 1000;
 
 /// Of peers with weights v and w, the first has the greater score for v / (v + w) of all keys.
 double weightedScore(std::uint64_t hash, std::uint64_t key, double weight)
@@ -48,27 +48,27 @@
     m_arePeersKnown = false;
 }
 
-void HomeDirectory::setOwn(const FleetPeer &own)
+void HomeDirectory::setOwnPeer(const FleetPeer &own)
 {
     m_own = own;
-    m_standings[m_self].peer = own;
-    m_orders.clear();
+    m_peers[m_self].peer = own;
+    m_rankings.clear();
 }
 
 void HomeDirectory::setPeers(const std::map<std::string, FleetPeer> &peers)
 {
     m_arePeersKnown = true;
-    m_orders.clear();
-    absl::flat_hash_map<std::string, Standing> standings;
-    standings[m_self] = Standing{m_own, rendezvousHash(m_self)};
+    m_rankings.clear();
+    absl::flat_hash_map<std::string, PeerState> states;
+    states[m_self] = PeerState{m_own, rendezvousHash(m_self)};
     for (const auto &[name, peer] : peers) {
-        const auto known = m_standings.find(name);
-        Standing standing = known == m_standings.end() ? Standing() : known->second;
-        standing.peer = peer;
-        standing.hash = rendezvousHash(name);
-        standings[name] = standing;
+        const auto known = m_peers.find(name);
+        PeerState state = known == m_peers.end() ? PeerState() : known->second;
+        state.peer = peer;
+        state.hash = rendezvousHash(name);
+        states[name] = state;
     }
-    m_standings = std::move(standings);
+    m_peers = std::move(states);
 }
 
 void HomeDirectory::leave()
@@ -76,76 +76,76 @@
     m_isLeaving = true;
 }
 
-HomeDirectory::Rank HomeDirectory::rankOf(const Standing &standing, std::uint64_t keyHash)
+HomeDirectory::Rank HomeDirectory::rankOf(const PeerState &state, std::uint64_t keyHash)
 {
-    const bool isHome = standing.peer.kind == PeerKind::Home;
-    return {isHome, weightedScore(standing.hash, keyHash, standing.peer.weight)};
+    const bool isHome = state.peer.kind == PeerKind::Home;
+    return {isHome, weightedScore(state.hash, keyHash, state.peer.weight)};
 }
 
-HomeDirectory::Order HomeDirectory::ranked(std::string_view key, std::size_t most) const
+HomeDirectory::Ranking HomeDirectory::makeRanking(std::string_view key, std::size_t most) const
 {
     const std::uint64_t keyHash = rendezvousHash(key);
     std::vector<std::pair<Rank, std::string_view>> all;
-    all.reserve(m_standings.size());
-    for (const auto &[name, standing] : m_standings) {
-        all.emplace_back(rankOf(standing, keyHash), name);
+    all.reserve(m_peers.size());
+    for (const auto &[name, state] : m_peers) {
+        all.emplace_back(rankOf(state, keyHash), name);
     }
     std::ranges::sort(all, std::greater<>());
-    Order order;
+    Ranking ranking;
     std::size_t homes = 0;
     std::size_t gateways = 0;
     for (const auto &[rank, name] : all) {
         std::size_t &kept = std::get<bool>(rank) ? homes : gateways;
         if (kept++ < most) {
-            order.names.emplace_back(name);
+            ranking.names.emplace_back(name);
         }
     }
-    order.isCut = homes > most || gateways > most;
-    return order;
+    ranking.isTruncated = homes > most || gateways > most;
+    return ranking;
 }
 
-const HomeDirectory::Order &HomeDirectory::orderOf(std::string_view key) const
+const HomeDirectory::Ranking &HomeDirectory::rankingOf(std::string_view key) const
 {
-    if (m_orders.size() >= kMostOrders) {
-        m_orders.clear();
+    if (m_rankings.size() >= kMaxRankings) {
+        m_rankings.clear();
     }
-    const auto [it, isNew] = m_orders.try_emplace(std::string(key));
+    const auto [it, isNew] = m_rankings.try_emplace(std::string(key));
     if (isNew) {
-        it->second = ranked(key, kKeptOfEachKind);
+        it->second = makeRanking(key, kRankedPerKind);
     }
     return it->second;
 }
 
 std::vector<std::string> HomeDirectory::candidates(std::string_view key, Instant now) const
 {
-    if (const auto few = candidatesAmong(orderOf(key), now)) {
+    if (const auto few = candidatesAmong(rankingOf(key), now)) {
         return *few;
     }
-    return *candidatesAmong(ranked(key, m_standings.size()), now);
+    return *candidatesAmong(makeRanking(key, m_peers.size()), now);
 }
 
-std::optional<std::vector<std::string>> HomeDirectory::candidatesAmong(const Order &order, Instant now) const
+std::optional<std::vector<std::string>> HomeDirectory::candidatesAmong(const Ranking &ranking, Instant now) const
 {
     std::vector<std::string> names;
     std::size_t homes = 0;
     std::size_t gateways = 0;
     bool hasSelf = false;
-    for (const std::string &name : order.names) {
-        const Standing &standing = m_standings.at(name);
+    for (const std::string &name : ranking.names) {
+        const PeerState &state = m_peers.at(name);
         if (name == m_self) {
             hasSelf = true;
             names.push_back(name);
             continue;
         }
-        const bool isHome = standing.peer.kind == PeerKind::Home;
+        const bool isHome = state.peer.kind == PeerKind::Home;
         std::size_t &taken = isHome ? homes : gateways;
-        if (now >= standing.pausedUntil && taken < (isHome ? m_settings.mostHomes : m_settings.mostGateways)) {
+        if (now >= state.pausedUntil && taken < (isHome ? m_settings.maximumHomes : m_settings.maximumGateways)) {
             ++taken;
             names.push_back(name);
         }
     }
-    const bool isEnough = homes == m_settings.mostHomes && gateways == m_settings.mostGateways;
-    if (order.isCut && !isEnough) {
+    const bool isEnough = homes == m_settings.maximumHomes && gateways == m_settings.maximumGateways;
+    if (ranking.isTruncated && !isEnough) {
         return std::nullopt;
     }
     if (!hasSelf) {
@@ -159,13 +159,13 @@
 
 std::string HomeDirectory::nearestHome(Instant now) const
 {
-    const std::string &zone = m_standings.at(m_self).peer.zone;
+    const std::string &zone = m_peers.at(m_self).peer.zone;
     const std::uint64_t keyHash = rendezvousHash(kWatchKey);
     std::pair<Rank, std::string> best;
-    for (const auto &[name, standing] : m_standings) {
-        if (standing.peer.kind == PeerKind::Home && now >= standing.pausedUntil) {
-            const double score = weightedScore(standing.hash, keyHash, standing.peer.weight);
-            best = std::max(best, {Rank(standing.peer.zone == zone, score), name});
+    for (const auto &[name, state] : m_peers) {
+        if (state.peer.kind == PeerKind::Home && now >= state.pausedUntil) {
+            const double score = weightedScore(state.hash, keyHash, state.peer.weight);
+            best = std::max(best, {Rank(state.peer.zone == zone, score), name});
         }
     }
     return best.second;
@@ -184,15 +184,15 @@
     if (m_watchesAlone) {
         return m_self;
     }
-    const std::string &zone = m_standings.at(m_self).peer.zone;
+    const std::string &zone = m_peers.at(m_self).peer.zone;
     const double strong = m_settings.strongShare * greatestWeight(zone);
     const std::uint64_t keyHash = rendezvousHash(kWatchKey);
     std::pair<Rank, std::string> best;
-    for (const auto &[name, standing] : m_standings) {
-        const FleetPeer &peer = standing.peer;
-        const bool mayWatch = name == m_self || now >= standing.pausedUntil;
+    for (const auto &[name, state] : m_peers) {
+        const FleetPeer &peer = state.peer;
+        const bool mayWatch = name == m_self || now >= state.pausedUntil;
         if (peer.kind == PeerKind::Gateway && peer.zone == zone && mayWatch) {
-            const Rank rank(peer.weight >= strong, weightedScore(standing.hash, keyHash, peer.weight));
+            const Rank rank(peer.weight >= strong, weightedScore(state.hash, keyHash, peer.weight));
             best = std::max(best, {rank, name});
         }
     }
@@ -202,30 +202,30 @@
 double HomeDirectory::greatestWeight(const std::string &zone) const
 {
     double greatest = 0;
-    for (const auto &[name, standing] : m_standings) {
-        const bool isOfZone = standing.peer.kind == PeerKind::Gateway && standing.peer.zone == zone;
-        greatest = std::max(greatest, isOfZone ? standing.peer.weight : 0);
+    for (const auto &[name, state] : m_peers) {
+        const bool isOfZone = state.peer.kind == PeerKind::Gateway && state.peer.zone == zone;
+        greatest = std::max(greatest, isOfZone ? state.peer.weight : 0);
     }
     return greatest;
 }
 
 std::string HomeDirectory::usualHome(std::string_view key) const
 {
-    if (const auto home = usualHomeAmong(orderOf(key))) {
+    if (const auto home = usualHomeAmong(rankingOf(key))) {
         return *home;
     }
-    return usualHomeAmong(ranked(key, m_standings.size())).value_or(std::string());
+    return usualHomeAmong(makeRanking(key, m_peers.size())).value_or(std::string());
 }
 
-std::optional<std::string> HomeDirectory::usualHomeAmong(const Order &order) const
+std::optional<std::string> HomeDirectory::usualHomeAmong(const Ranking &ranking) const
 {
-    constexpr int kFailuresOfTheGone = 4;
-    for (const std::string &name : order.names) {
-        const Standing &standing = m_standings.at(name);
-        if (order.isCut && standing.peer.kind == PeerKind::Gateway) {
+    constexpr int kFailuresUntilGone = 4;
+    for (const std::string &name : ranking.names) {
+        const PeerState &state = m_peers.at(name);
+        if (ranking.isTruncated && state.peer.kind == PeerKind::Gateway) {
             return std::nullopt;
         }
-        if (standing.failures < kFailuresOfTheGone && !(m_isLeaving && name == m_self)) {
+        if (state.failures < kFailuresUntilGone && !(m_isLeaving && name == m_self)) {
             return name;
         }
     }
@@ -236,8 +236,8 @@
 {
     std::vector<std::string> names;
     for (const PeerKind kind : {PeerKind::Home, PeerKind::Gateway}) {
-        for (const auto &[name, standing] : m_standings) {
-            if (standing.peer.kind == kind && name != m_self && now >= standing.pausedUntil) {
+        for (const auto &[name, state] : m_peers) {
+            if (state.peer.kind == kind && name != m_self && now >= state.pausedUntil) {
                 names.push_back(name);
             }
         }
@@ -247,34 +247,34 @@
 
 std::string HomeDirectory::addressOf(const std::string &peer) const
 {
-    const auto it = m_standings.find(peer);
-    return it == m_standings.end() ? std::string() : it->second.peer.address;
+    const auto it = m_peers.find(peer);
+    return it == m_peers.end() ? std::string() : it->second.peer.address;
 }
 
 void HomeDirectory::noteUnreachable(const std::string &peer, Instant now)
 {
-    const auto it = m_standings.find(peer);
-    if (it == m_standings.end() || now < it->second.pausedUntil) {
+    const auto it = m_peers.find(peer);
+    if (it == m_peers.end() || now < it->second.pausedUntil) {
         return;
     }
-    constexpr int kMostDoublings = 10;
-    const Duration pause = m_settings.firstPause * (1 << std::min(it->second.failures, kMostDoublings));
+    constexpr int kMaxDoublings = 10;
+    const Duration pause = m_settings.firstPause * (1 << std::min(it->second.failures, kMaxDoublings));
     it->second.failures += 1;
     it->second.pausedUntil = now + std::min(pause, m_settings.longestPause);
 }
 
 void HomeDirectory::forgetFailures()
 {
-    for (auto &[name, standing] : m_standings) {
-        standing.failures = 0;
-        standing.pausedUntil = Instant::min();
+    for (auto &[name, state] : m_peers) {
+        state.failures = 0;
+        state.pausedUntil = Instant::min();
     }
 }
 
 void HomeDirectory::noteReached(const std::string &peer)
 {
-    const auto it = m_standings.find(peer);
-    if (it != m_standings.end()) {
+    const auto it = m_peers.find(peer);
+    if (it != m_peers.end()) {
         it->second.failures = 0;
         it->second.pausedUntil = Instant::min();
     }
--- a/src/libradishswitch/serving/homedirectory.h
+++ b/src/libradishswitch/serving/homedirectory.h
@@ -21,8 +21,8 @@
     Duration firstPause = std::chrono::milliseconds(60);
     Duration longestPause = std::chrono::seconds(3);
     /// Homes and gateways named for one key, besides this gateway itself.
-    std::size_t mostHomes = 2;
-    std::size_t mostGateways = 2;
+    std::size_t maximumHomes = 2;
+    std::size_t maximumGateways = 2;
     /// Gateways with less than this part of the greatest weight in their zone watch for it only when no other can.
     double strongShare = 0.5;
 };
@@ -62,7 +62,7 @@
     HomeDirectory(std::string self, HomeDirectorySettings settings = {});
 
     /// What the others are told of this process: until the list of all has it, it counts as this.
-    void setOwn(const FleetPeer &own);
+    void setOwnPeer(const FleetPeer &own);
 
     /// The processes of the fleet, by their names; this one may be among them.
     void setPeers(const std::map<std::string, FleetPeer> &peers);
@@ -76,12 +76,12 @@
     /// This gateway is about to stop: it is the home of nothing any more, as far as there are others.
     void leave();
 
-    /// Whom to ask for a key, in order: the home, then those that stand in for it. This gateway is among them, at its
+    /// Whom to ask for a key, in ranking: the home, then those that stand in for it. This gateway is among them, at its
     /// place.
     std::vector<std::string> candidates(std::string_view key, Instant now) const;
 
     /// Who watches the store for the gateways of this one's zone; this gateway itself, or one that comes before it in
-    /// an order that all of the zone share, so that no two wait for each other.
+    /// an ranking that all of the zone share, so that no two wait for each other.
     std::string watcher(Instant now) const;
 
     /// A home that can be reached, in this gateway's zone if there is one; empty when there is none. The same for all
@@ -95,7 +95,7 @@
     /// they are gone for good.
     std::string usualHome(std::string_view key) const;
 
-    /// The other processes that may be asked now; homes first, else in no order that means anything.
+    /// The other processes that may be asked now; homes first, else in no ranking that means anything.
     std::vector<std::string> reachablePeers(Instant now) const;
 
     /// The address of a peer; empty when it is not known.
@@ -112,27 +112,27 @@
     }
 
 private:
-    struct Standing;
+    struct PeerState;
     using Rank = std::tuple<bool, double>;
 
     /// The first of those that may be home of a key, the nearest first: ranking all of a thousand takes a hundred
     /// times what a look at the first few does.
-    struct Order {
+    struct Ranking {
         std::vector<std::string> names;
         /// Whether there are more.
-        bool isCut = false;
+        bool isTruncated = false;
     };
 
     /// The greater rank is nearer to being the home of a key.
-    static Rank rankOf(const Standing &standing, std::uint64_t keyHash);
+    static Rank rankOf(const PeerState &state, std::uint64_t keyHash);
 
-    const Order &orderOf(std::string_view key) const;
-    Order ranked(std::string_view key, std::size_t most) const;
-    /// Whom to ask, of those in `order`; nothing when that does not have enough that may be asked.
-    std::optional<std::vector<std::string>> candidatesAmong(const Order &order, Instant now) const;
-    std::optional<std::string> usualHomeAmong(const Order &order) const;
+    const Ranking &rankingOf(std::string_view key) const;
+    Ranking makeRanking(std::string_view key, std::size_t most) const;
+    /// Whom to ask, of those in `ranking`; nothing when that does not have enough that may be asked.
+    std::optional<std::vector<std::string>> candidatesAmong(const Ranking &ranking, Instant now) const;
+    std::optional<std::string> usualHomeAmong(const Ranking &ranking) const;
 
-    struct Standing {
+    struct PeerState {
         FleetPeer peer;
         std::uint64_t hash = 0;
         int failures = 0;
@@ -147,8 +147,8 @@
     bool m_isLeaving = false;
     bool m_watchesAlone = false;
     const HomeDirectorySettings m_settings;
-    absl::flat_hash_map<std::string, Standing> m_standings;
-    mutable absl::flat_hash_map<std::string, Order> m_orders;
+    absl::flat_hash_map<std::string, PeerState> m_peers;
+    mutable absl::flat_hash_map<std::string, Ranking> m_rankings;
 };
 
 }
--- a/src/libradishswitch/serving/objectfollower.cpp
+++ b/src/libradishswitch/serving/objectfollower.cpp
@@ -12,7 +12,7 @@
 {
 
 /// Doublings after which a pause no longer grows by itself.
-constexpr int kMostDoublings = 16;
+constexpr int kMaxDoublings = 16;
 
 }
 
@@ -32,9 +32,9 @@
     m_timers.cancel(m_timer);
 }
 
-void ObjectFollower::setContactCallback(ContactCallback callback)
+void ObjectFollower::setReachabilityCallback(ReachabilityCallback callback)
 {
-    m_onContact = std::move(callback);
+    m_onReachabilityChanged = std::move(callback);
 }
 
 void ObjectFollower::setProgressCallback(ProgressCallback callback)
@@ -42,7 +42,7 @@
     m_onProgress = std::move(callback);
 }
 
-void ObjectFollower::tellProgress(const Progress &progress)
+void ObjectFollower::reportProgress(const Progress &progress)
 {
     if (m_onProgress) {
         m_onProgress(progress);
@@ -71,10 +71,10 @@
     if (!changes.ok()) {
         return retryLater(changes.status(), &ObjectFollower::list);
     }
-    setReached(true);
+    setStoreReachable(true);
     m_version = changes->nextVersion;
     m_listener.objectsListed(changes->objects);
-    tellProgress({true, true, *changes});
+    reportProgress({true, true, *changes});
     watch();
 }
 
@@ -89,12 +89,12 @@
         const bool isRefused = failureCode(changes.status()) == FailureCode::StoreUnavailable;
         return retryLater(changes.status(), isRefused ? &ObjectFollower::watch : &ObjectFollower::list);
     }
-    setReached(true);
+    setStoreReachable(true);
     m_version = std::max(m_version, changes->nextVersion);
     if (!changes->objects.empty()) {
         m_listener.objectsChanged(changes->objects);
     }
-    tellProgress({true, false, *changes});
+    reportProgress({true, false, *changes});
     if (changes->objects.empty() || m_settings.changePause == Duration::zero()) {
         return watch();
     }
@@ -107,13 +107,13 @@
 void ObjectFollower::retryLater(const absl::Status &status, void (ObjectFollower::*step)())
 {
     ++m_failures;
-    tellProgress({});
+    reportProgress({});
     // A watch that was cut off is no outage yet; the next call tells.
     if (m_failures > 1 || failureCode(status) == FailureCode::StoreUnavailable) {
-        setReached(false);
+        setStoreReachable(false);
     }
     const Duration whole =
-        std::min(m_settings.longestBackoff, m_settings.firstBackoff * (1 << std::min(m_failures - 1, kMostDoublings)));
+        std::min(m_settings.longestBackoff, m_settings.firstBackoff * (1 << std::min(m_failures - 1, kMaxDoublings)));
     const Duration wait = whole / 2 + Duration(static_cast<Duration::rep>(m_random.below(whole.count() / 2 + 1)));
     m_timer = m_timers.after(wait, [this, step] {
         m_timer = 0;
@@ -121,13 +121,13 @@
     });
 }
 
-void ObjectFollower::setReached(bool isReached)
+void ObjectFollower::setStoreReachable(bool isStoreReachable)
 {
-    if (isReached) {
+    if (isStoreReachable) {
         m_failures = 0;
     }
-    if (std::exchange(m_isReached, isReached) != isReached && m_onContact) {
-        m_onContact(isReached);
+    if (std::exchange(m_isStoreReachable, isStoreReachable) != isStoreReachable && m_onReachabilityChanged) {
+        m_onReachabilityChanged(isStoreReachable);
     }
 }
 
--- a/src/libradishswitch/serving/objectfollower.h
+++ b/src/libradishswitch/serving/objectfollower.h
@@ -32,13 +32,13 @@
     /// Everything up to a version is known: by these changes, or by a list, which has all objects; nothing when the
     /// store failed to answer.
     struct Progress {
-        bool isReached = false;
+        bool isStoreReachable = false;
         bool wasListed = false;
         StoreChanges changes;
     };
 
     using ProgressCallback = std::function<void(const Progress &)>;
-    using ContactCallback = std::function<void(bool isReached)>;
+    using ReachabilityCallback = std::function<void(bool isStoreReachable)>;
 
     ObjectFollower(ObjectStore &store, TimerService &timers, RandomSource &random, std::string prefix,
                    ObjectListener &listener, ObjectFollowerSettings settings = {});
@@ -48,7 +48,7 @@
     ObjectFollower &operator=(const ObjectFollower &) = delete;
 
     /// Called when the store is lost, and when it answers again.
-    void setContactCallback(ContactCallback callback);
+    void setReachabilityCallback(ReachabilityCallback callback);
 
     /// Called with every answer of the store and every failure, after the listener.
     void setProgressCallback(ProgressCallback callback);
@@ -56,9 +56,9 @@
     void start();
 
     /// Whether the store answered last.
-    bool isReached() const
+    bool isStoreReachable() const
     {
-        return m_isReached;
+        return m_isStoreReachable;
     }
 
     /// The version of the store up to which the objects are known; zero before the first list.
@@ -73,8 +73,8 @@
     void handleListed(const absl::StatusOr<StoreChanges> &changes);
     void handleChanged(const absl::StatusOr<StoreChanges> &changes);
     void retryLater(const absl::Status &status, void (ObjectFollower::*step)());
-    void tellProgress(const Progress &progress);
-    void setReached(bool isReached);
+    void reportProgress(const Progress &progress);
+    void setStoreReachable(bool isStoreReachable);
     ObjectStore::Callback<StoreChanges> guarded(void (ObjectFollower::*handler)(const absl::StatusOr<StoreChanges> &));
 
     ObjectStore &m_store;
@@ -83,11 +83,11 @@
     const std::string m_prefix;
     ObjectListener &m_listener;
     const ObjectFollowerSettings m_settings;
-    ContactCallback m_onContact;
+    ReachabilityCallback m_onReachabilityChanged;
     ProgressCallback m_onProgress;
     std::uint64_t m_version = 0;
     int m_failures = 0;
-    bool m_isReached = true;
+    bool m_isStoreReachable = true;
     TimerId m_timer = 0;
     std::shared_ptr<int> m_alive = std::make_shared<int>(0);
 };
--- a/src/libradishswitch/serving/probedstore.cpp
+++ b/src/libradishswitch/serving/probedstore.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr int kMostDoublings = 10;
+constexpr int kMaxDoublings = 10;
 
 /// Nothing is ever kept under it, so that a list of it is answered at once and costs next to nothing.
 constexpr char kProbePrefix[] = "probe/";
@@ -37,7 +37,7 @@
 
 void ProbedStore::list(const std::string &prefix, Callback<StoreChanges> callback)
 {
-    ask(
+    forward(
         [this, prefix](Callback<StoreChanges> onAnswer) {
             store().list(prefix, std::move(onAnswer));
         },
@@ -46,7 +46,7 @@
 
 void ProbedStore::listRelaxed(const std::string &prefix, Callback<StoreChanges> callback)
 {
-    ask(
+    forward(
         [this, prefix](Callback<StoreChanges> onAnswer) {
             store().listRelaxed(prefix, std::move(onAnswer));
         },
@@ -55,58 +55,58 @@
 
 void ProbedStore::watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback)
 {
-    ask(
+    forward(
         [this, prefix, fromVersion](Callback<StoreChanges> onAnswer) {
             store().watch(prefix, fromVersion, std::move(onAnswer));
         },
         std::move(callback));
 }
 
-void ProbedStore::ask(const Question &question, Callback<StoreChanges> callback)
+void ProbedStore::forward(const StoreCall &storeCall, Callback<StoreChanges> callback)
 {
     if (m_failures == 0) {
-        return question(noted(std::move(callback)));
+        return storeCall(recordingOutcome(std::move(callback)));
     }
     if (m_timers.now() < m_nextProbeAt) {
         return callback(makeFailure(FailureCode::StoreUnavailable, "the store did not answer before"));
     }
-    probe(question, std::move(callback));
+    probe(storeCall, std::move(callback));
 }
 
-void ProbedStore::probe(const Question &question, Callback<StoreChanges> callback)
+void ProbedStore::probe(const StoreCall &storeCall, Callback<StoreChanges> callback)
 {
     m_nextProbeAt = m_timers.now() + drawPause();
-    const Instant askedAt = m_timers.now();
-    store().listRelaxed(kProbePrefix, [this, question, askedAt, callback = std::move(callback)](const auto &changes) {
+    const Instant calledAt = m_timers.now();
+    store().listRelaxed(kProbePrefix, [this, storeCall, calledAt, callback = std::move(callback)](const auto &changes) {
         if (isAnswer(changes)) {
             m_failures = 0;
-            return question(noted(callback));
+            return storeCall(recordingOutcome(callback));
         }
-        noteFailed(askedAt);
+        noteFailed(calledAt);
         callback(changes.status());
     });
 }
 
-ObjectStore::Callback<StoreChanges> ProbedStore::noted(Callback<StoreChanges> callback)
+ObjectStore::Callback<StoreChanges> ProbedStore::recordingOutcome(Callback<StoreChanges> callback)
 {
-    const Instant askedAt = m_timers.now();
-    return [this, askedAt, callback = std::move(callback)](const absl::StatusOr<StoreChanges> &changes) {
+    const Instant calledAt = m_timers.now();
+    return [this, calledAt, callback = std::move(callback)](const absl::StatusOr<StoreChanges> &changes) {
         if (isAnswer(changes)) {
             m_failures = 0;
         } else {
-            noteFailed(askedAt);
+            noteFailed(calledAt);
         }
         callback(changes);
     };
 }
 
 // Questions that were under way together fail together, and are one failure.
-void ProbedStore::noteFailed(Instant askedAt)
+void ProbedStore::noteFailed(Instant calledAt)
 {
-    if (m_failures > 0 && askedAt <= m_failedAt) {
+    if (m_failures > 0 && calledAt <= m_failedAt) {
         return;
     }
-    m_failures = std::min(m_failures + 1, kMostDoublings);
+    m_failures = std::min(m_failures + 1, kMaxDoublings);
     m_failedAt = m_timers.now();
     m_nextProbeAt = std::max(m_nextProbeAt, m_failedAt + drawPause());
 }
--- a/src/libradishswitch/serving/probedstore.h
+++ b/src/libradishswitch/serving/probedstore.h
@@ -16,11 +16,11 @@
     Duration longestPause = std::chrono::seconds(2);
 };
 
-/// The platform's store, which a process asks a single small question while it does not answer.
+/// The platform's store, which a process asks a single small storeCall while it does not answer.
 ///
 /// Load pattern: a third of the fleet is cut off from the store for nine seconds, or the store is away for all. Each
-/// part of each process that follows something there asks again by itself, and each question is paid for: 4,000 calls
-/// more than on a quiet day. One question that is answered at once, of the cheapest kind, tells for all of a process
+/// part of each process that follows something there asks again by itself, and each storeCall is paid for: 4,000 calls
+/// more than on a quiet day. One storeCall that is answered at once, of the cheapest kind, tells for all of a process
 /// whether the store is back; until then the others fail at once.
 ///
 /// Holds for lists and watches. Writes have their own limits.
@@ -34,12 +34,12 @@
     void watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback) override;
 
 private:
-    using Question = std::function<void(Callback<StoreChanges>)>;
+    using StoreCall = std::function<void(Callback<StoreChanges>)>;
 
-    void ask(const Question &question, Callback<StoreChanges> callback);
-    void probe(const Question &question, Callback<StoreChanges> callback);
-    Callback<StoreChanges> noted(Callback<StoreChanges> callback);
-    void noteFailed(Instant askedAt);
+    void forward(const StoreCall &storeCall, Callback<StoreChanges> callback);
+    void probe(const StoreCall &storeCall, Callback<StoreChanges> callback);
+    Callback<StoreChanges> recordingOutcome(Callback<StoreChanges> callback);
+    void noteFailed(Instant calledAt);
     Duration drawPause();
 
     TimerService &m_timers;
--- a/src/libradishswitch/serving/relayedstore.cpp
+++ b/src/libradishswitch/serving/relayedstore.cpp
@@ -13,14 +13,14 @@
 
 /// The store itself is tried again after so long. A try costs the 0.2 s that a new connection is waited for, in which
 /// no news comes; cuts seen last seven to nine seconds.
-constexpr Duration kDetour = std::chrono::seconds(2);
+constexpr Duration kStoreRetryInterval = std::chrono::seconds(2);
 
 /// Gateways of a zone that are asked one after the other before the store itself is.
-constexpr int kMostWatchers = 3;
+constexpr int kMaxWatchers = 3;
 
 /// The others are known soon after a start, if the store answers. Longer than that is not waited for them.
-constexpr Duration kLongestPeerWait = std::chrono::seconds(2);
-constexpr Duration kPeerCheck = std::chrono::milliseconds(50);
+constexpr Duration kMaxPeerWait = std::chrono::seconds(2);
+constexpr Duration kPeerCheckInterval = std::chrono::milliseconds(50);
 
 }
 
@@ -36,66 +36,66 @@
 
 void RelayedStore::list(const std::string &prefix, Callback<StoreChanges> callback)
 {
-    askWatcher({prefix, 0}, 0, remembered(prefix, std::move(callback)));
+    askWatcher({prefix, 0}, 0, recordingVersion(prefix, std::move(callback)));
 }
 
 void RelayedStore::listRelaxed(const std::string &prefix, Callback<StoreChanges> callback)
 {
     store().listRelaxed(prefix,
-                        [this, prefix, callback = remembered(prefix, std::move(callback))](const auto &changes) {
+                        [this, prefix, callback = recordingVersion(prefix, std::move(callback))](const auto &changes) {
                             changes.ok() ? callback(changes) : read(prefix, 0, callback);
                         });
 }
 
 void RelayedStore::watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback)
 {
-    askWhenPeersAreKnown({prefix, fromVersion}, m_timers.now() + kLongestPeerWait,
-                         remembered(prefix, std::move(callback)));
+    askWhenPeersAreKnown({prefix, fromVersion}, m_timers.now() + kMaxPeerWait,
+                         recordingVersion(prefix, std::move(callback)));
 }
 
-ObjectStore::Callback<StoreChanges> RelayedStore::remembered(const std::string &prefix, Callback<StoreChanges> callback)
+ObjectStore::Callback<StoreChanges> RelayedStore::recordingVersion(const std::string &prefix, Callback<StoreChanges> callback)
 {
     return [this, prefix, callback = std::move(callback)](const absl::StatusOr<StoreChanges> &changes) {
         if (changes.ok()) {
-            std::uint64_t &heard = m_heard[prefix];
-            heard = std::max(heard, changes->nextVersion);
+            std::uint64_t &newest = m_newestVersions[prefix];
+            newest = std::max(newest, changes->nextVersion);
         }
         callback(changes);
     };
 }
 
-bool RelayedStore::isCurrent(const Question &question, const StoreChanges &changes) const
+bool RelayedStore::isCurrent(const Query &query, const StoreChanges &changes) const
 {
-    const auto it = m_heard.find(question.prefix);
-    return question.fromVersion != 0 || it == m_heard.end() || changes.nextVersion >= it->second;
+    const auto it = m_newestVersions.find(query.prefix);
+    return query.fromVersion != 0 || it == m_newestVersions.end() || changes.nextVersion >= it->second;
 }
 
-void RelayedStore::askWhenPeersAreKnown(const Question &question, Instant until, Callback<StoreChanges> callback)
+void RelayedStore::askWhenPeersAreKnown(const Query &query, Instant until, Callback<StoreChanges> callback)
 {
     if (m_homes.arePeersKnown() || m_timers.now() >= until) {
-        return askWatcher(question, 0, std::move(callback));
+        return askWatcher(query, 0, std::move(callback));
     }
     m_timers.after(
-        kPeerCheck,
-        [this, question, until, callback = std::move(callback), alive = std::weak_ptr<int>(m_alive)]() mutable {
+        kPeerCheckInterval,
+        [this, query, until, callback = std::move(callback), alive = std::weak_ptr<int>(m_alive)]() mutable {
             if (!alive.expired()) {
-                askWhenPeersAreKnown(question, until, std::move(callback));
+                askWhenPeersAreKnown(query, until, std::move(callback));
             }
         });
 }
 
-void RelayedStore::askWatcher(const Question &question, int asked, Callback<StoreChanges> callback)
+void RelayedStore::askWatcher(const Query &query, int asked, Callback<StoreChanges> callback)
 {
     const std::string watcher = m_homes.watcher(m_timers.now());
-    if (watcher == m_homes.self() || asked == kMostWatchers) {
-        return read(question.prefix, question.fromVersion, std::move(callback));
+    if (watcher == m_homes.self() || asked == kMaxWatchers) {
+        return read(query.prefix, query.fromVersion, std::move(callback));
     }
-    const auto onAnswer = [this, watcher, question, asked,
+    const auto onAnswer = [this, watcher, query, asked,
                            callback = std::move(callback)](const absl::StatusOr<StoreChanges> &changes) {
         if (changes.ok()) {
             m_homes.noteReached(watcher);
-            return isCurrent(question, *changes) ? callback(changes)
-                                                 : read(question.prefix, question.fromVersion, callback);
+            return isCurrent(query, *changes) ? callback(changes)
+                                                 : read(query.prefix, query.fromVersion, callback);
         }
         const FailureCode code = failureCode(changes.status());
         // One that doesn't know so much history is sound; the caller lists, and goes on with it.
@@ -105,36 +105,36 @@
         m_homes.noteUnreachable(watcher, m_timers.now());
         // Silence has taken most of the time that news may take. What failed at once leaves time for another.
         if (code == FailureCode::ConnectionSilent) {
-            return read(question.prefix, question.fromVersion, callback);
+            return read(query.prefix, query.fromVersion, callback);
         }
-        askWatcher(question, asked + 1, callback);
+        askWatcher(query, asked + 1, callback);
     };
-    m_peers.watch(watcher, question.prefix, question.fromVersion, m_timeout, onAnswer);
+    m_peers.watch(watcher, query.prefix, query.fromVersion, m_timeout, onAnswer);
 }
 
-void RelayedStore::setDetourCallback(std::function<void(bool isDetour)> callback)
+void RelayedStore::setReadPathCallback(std::function<void(bool isReadingThroughHome)> callback)
 {
-    m_onDetour = std::move(callback);
+    m_onReadPathChanged = std::move(callback);
 }
 
 void RelayedStore::read(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback)
 {
-    if (m_isDetour && m_timers.now() < m_tryItselfAt) {
+    if (m_isReadingThroughHome && m_timers.now() < m_retryStoreAt) {
         const absl::Status failure = makeFailure(FailureCode::StoreUnavailable, "the store did not answer before");
         return readThroughHome(prefix, fromVersion, failure, std::move(callback));
     }
-    readItself(
+    readDirectly(
         prefix, fromVersion,
         [this, prefix, fromVersion, callback = std::move(callback)](const absl::StatusOr<StoreChanges> &changes) {
             if (changes.ok() || failureCode(changes.status()) == FailureCode::HistoryGone) {
-                setDetour(false);
+                setReadingThroughHome(false);
                 return callback(changes);
             }
             readThroughHome(prefix, fromVersion, changes.status(), callback);
         });
 }
 
-void RelayedStore::readItself(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback)
+void RelayedStore::readDirectly(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback)
 {
     fromVersion == 0 ? store().list(prefix, std::move(callback))
                      : store().watch(prefix, fromVersion, std::move(callback));
@@ -145,32 +145,32 @@
 {
     const std::string home = m_homes.nearestHome(m_timers.now());
     if (home.empty()) {
-        setDetour(false);
+        setReadingThroughHome(false);
         return callback(failure);
     }
     m_peers.watch(home, prefix, fromVersion, m_timeout,
                   [this, home, failure, callback = std::move(callback)](const absl::StatusOr<StoreChanges> &changes) {
                       if (changes.ok() || failureCode(changes.status()) == FailureCode::HistoryGone) {
                           m_homes.noteReached(home);
-                          setDetour(true);
+                          setReadingThroughHome(true);
                           return callback(changes);
                       }
                       const FailureCode code = failureCode(changes.status());
                       if (code == FailureCode::ConnectionLost || code == FailureCode::ConnectionSilent) {
                           m_homes.noteUnreachable(home, m_timers.now());
                       }
-                      setDetour(false);
+                      setReadingThroughHome(false);
                       callback(failure);
                   });
 }
 
-void RelayedStore::setDetour(bool isDetour)
+void RelayedStore::setReadingThroughHome(bool isReadingThroughHome)
 {
-    if (isDetour && m_timers.now() >= m_tryItselfAt) {
-        m_tryItselfAt = m_timers.now() + kDetour;
+    if (isReadingThroughHome && m_timers.now() >= m_retryStoreAt) {
+        m_retryStoreAt = m_timers.now() + kStoreRetryInterval;
     }
-    if (std::exchange(m_isDetour, isDetour) != isDetour && m_onDetour) {
-        m_onDetour(isDetour);
+    if (std::exchange(m_isReadingThroughHome, isReadingThroughHome) != isReadingThroughHome && m_onReadPathChanged) {
+        m_onReadPathChanged(isReadingThroughHome);
     }
 }
 
--- a/src/libradishswitch/serving/relayedstore.h
+++ b/src/libradishswitch/serving/relayedstore.h
@@ -30,12 +30,12 @@
                  Duration timeout);
 
     /// Called when reading goes through a home from now on, and when the store itself answers again.
-    void setDetourCallback(std::function<void(bool isDetour)> callback);
+    void setReadPathCallback(std::function<void(bool isReadingThroughHome)> callback);
 
     /// Whether the store itself did not answer when it was last read.
-    bool isDetour() const
+    bool isReadingThroughHome() const
     {
-        return m_isDetour;
+        return m_isReadingThroughHome;
     }
 
     void list(const std::string &prefix, Callback<StoreChanges> callback) override;
@@ -43,36 +43,36 @@
     void watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback) override;
 
 private:
-    struct Question {
+    struct Query {
         std::string prefix;
         /// Zero for everything.
         std::uint64_t fromVersion = 0;
     };
 
-    void askWhenPeersAreKnown(const Question &question, Instant until, Callback<StoreChanges> callback);
+    void askWhenPeersAreKnown(const Query &query, Instant until, Callback<StoreChanges> callback);
     /// Asks the gateway that watches; `asked` of its zone were asked before it.
-    void askWatcher(const Question &question, int asked, Callback<StoreChanges> callback);
-    /// Whether an answer knows all that this process has heard before.
-    bool isCurrent(const Question &question, const StoreChanges &changes) const;
-    Callback<StoreChanges> remembered(const std::string &prefix, Callback<StoreChanges> callback);
+    void askWatcher(const Query &query, int asked, Callback<StoreChanges> callback);
+    /// Whether an answer knows all that this process has newest before.
+    bool isCurrent(const Query &query, const StoreChanges &changes) const;
+    Callback<StoreChanges> recordingVersion(const std::string &prefix, Callback<StoreChanges> callback);
     /// Reads from the store, and through a home if it does not answer. Version zero reads everything.
     void read(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback);
-    void readItself(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback);
+    void readDirectly(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback);
     void readThroughHome(const std::string &prefix, std::uint64_t fromVersion, const absl::Status &failure,
                          Callback<StoreChanges> callback);
-    void setDetour(bool isDetour);
+    void setReadingThroughHome(bool isReadingThroughHome);
 
     HomeDirectory &m_homes;
     WatchPeerPort &m_peers;
     TimerService &m_timers;
     const Duration m_timeout;
-    std::function<void(bool)> m_onDetour;
-    bool m_isDetour = false;
-    /// The newest version heard of, by prefix.
-    std::map<std::string, std::uint64_t> m_heard;
+    std::function<void(bool)> m_onReadPathChanged;
+    bool m_isReadingThroughHome = false;
+    /// The newest version newest of, by prefix.
+    std::map<std::string, std::uint64_t> m_newestVersions;
     std::shared_ptr<int> m_alive = std::make_shared<int>(0);
     /// While a detour is made, when the store itself is to be tried again.
-    Instant m_tryItselfAt = Instant::min();
+    Instant m_retryStoreAt = Instant::min();
 };
 
 }
--- a/src/libradishswitch/serving/sharedbudgets.cpp
+++ b/src/libradishswitch/serving/sharedbudgets.cpp
@@ -50,7 +50,7 @@
 void SharedBudgets::askNext(const SearchPointer &search)
 {
     if (search->next == search->candidates.size()) {
-        return search->callback(search->last);
+        return search->callback(search->lastStatus);
     }
     const std::string name = search->candidates[search->next++];
     search->request.isStandIn = name != search->usualHome;
@@ -58,8 +58,8 @@
         return askPeer(search, name);
     }
     // When the home lacks the ledger and this gateway does too, asking it would only cost a call to the store.
-    const bool isInVain = lacksLedger(search->last) && m_local.isLedgerAway(search->request.budget);
-    isInVain ? askNext(search) : askHere(search);
+    const bool isFutile = lacksLedger(search->lastStatus) && m_local.isLedgerUnreachable(search->request.budget);
+    isFutile ? askNext(search) : askLocal(search);
 }
 
 void SharedBudgets::askPeer(const SearchPointer &search, const std::string &peer)
@@ -74,38 +74,38 @@
     });
 }
 
-void SharedBudgets::askHere(const SearchPointer &search)
+void SharedBudgets::askLocal(const SearchPointer &search)
 {
-    m_local.reserveHere(search->request, [this, search](const absl::StatusOr<Reservation> &reservation) {
+    m_local.reserveLocally(search->request, [this, search](const absl::StatusOr<Reservation> &reservation) {
         handleAnswer(search, m_homes.self(), reservation.status());
     });
 }
 
-void SharedBudgets::handleAnswer(const SearchPointer &search, const std::string &place, const absl::Status &status)
+void SharedBudgets::handleAnswer(const SearchPointer &search, const std::string &holder, const absl::Status &status)
 {
     if (status.ok()) {
-        m_places[search->request.request] = place;
+        m_holders[search->request.request] = holder;
         return search->callback(status);
     }
-    search->last = status;
+    search->lastStatus = status;
     // The order is the same for all: one stand-in and not each gateway for itself, which would have all of them write
     // the budget's record at once.
-    const bool isWorthAskingOn = isUnreachable(failureCode(status)) || lacksLedger(status);
-    isWorthAskingOn ? askNext(search) : search->callback(status);
+    const bool shouldAskNext = isUnreachable(failureCode(status)) || lacksLedger(status);
+    shouldAskNext ? askNext(search) : search->callback(status);
 }
 
 void SharedBudgets::settle(const RequestId &call, std::int64_t usedTokens)
 {
-    const auto it = m_places.find(call);
-    if (it == m_places.end()) {
+    const auto it = m_holders.find(call);
+    if (it == m_holders.end()) {
         return;
     }
-    const std::string place = it->second;
-    m_places.erase(it);
-    if (place == m_homes.self()) {
-        m_local.settleHere(call, usedTokens);
+    const std::string holder = it->second;
+    m_holders.erase(it);
+    if (holder == m_homes.self()) {
+        m_local.settleLocally(call, usedTokens);
     } else {
-        m_peers.settle(place, call, usedTokens);
+        m_peers.settle(holder, call, usedTokens);
     }
 }
 
--- a/src/libradishswitch/serving/sharedbudgets.h
+++ b/src/libradishswitch/serving/sharedbudgets.h
@@ -17,10 +17,10 @@
     virtual ~LocalBudgets() = default;
 
     /// As BudgetHolder::reserve.
-    virtual void reserveHere(const ReservationRequest &request, ReservationCallback callback) = 0;
+    virtual void reserveLocally(const ReservationRequest &request, ReservationCallback callback) = 0;
     /// Whether the ledger is known not to answer this gateway.
-    virtual bool isLedgerAway(const BudgetId &budget) const = 0;
-    virtual void settleHere(const RequestId &call, std::int64_t usedTokens) = 0;
+    virtual bool isLedgerUnreachable(const BudgetId &budget) const = 0;
+    virtual void settleLocally(const RequestId &call, std::int64_t usedTokens) = 0;
 };
 
 struct SharedBudgetsSettings {
@@ -51,7 +51,7 @@
 
     std::size_t openCalls() const
     {
-        return m_places.size();
+        return m_holders.size();
     }
 
 private:
@@ -60,8 +60,8 @@
         std::vector<std::string> candidates;
         std::string usualHome;
         std::size_t next = 0;
-        /// How the last peer refused.
-        absl::Status last;
+        /// How the lastStatus peer refused.
+        absl::Status lastStatus;
         std::function<void(absl::Status)> callback;
     };
 
@@ -69,8 +69,8 @@
 
     void askNext(const SearchPointer &search);
     void askPeer(const SearchPointer &search, const std::string &peer);
-    void askHere(const SearchPointer &search);
-    void handleAnswer(const SearchPointer &search, const std::string &place, const absl::Status &status);
+    void askLocal(const SearchPointer &search);
+    void handleAnswer(const SearchPointer &search, const std::string &holder, const absl::Status &status);
 
     HomeDirectory &m_homes;
     LocalBudgets &m_local;
@@ -78,7 +78,7 @@
     TimerService &m_timers;
     const SharedBudgetsSettings m_settings;
     /// Who holds the reservation of an open call.
-    absl::flat_hash_map<RequestId, std::string> m_places;
+    absl::flat_hash_map<RequestId, std::string> m_holders;
 };
 
 }
--- a/src/libradishswitch/serving/watchlog.cpp
+++ b/src/libradishswitch/serving/watchlog.cpp
@@ -10,17 +10,17 @@
 
 void WatchLog::noteChanges(const StoreChanges &changes)
 {
-    m_isKnown = true;
-    m_isReached = true;
+    m_hasAnswer = true;
+    m_isStoreReached = true;
     m_version = std::max(m_version, changes.nextVersion);
     for (const StoredObject &object : changes.objects) {
         applyChange(object);
     }
-    while (m_removals.size() > kMostRemovals) {
+    while (m_removals.size() > kMaxRemovals) {
         m_completeFrom = m_removals.front().version;
         m_removals.pop_front();
     }
-    answerAll();
+    answerWaiters();
 }
 
 void WatchLog::applyChange(const StoredObject &object)
@@ -39,8 +39,8 @@
 
 void WatchLog::noteListed(const StoreChanges &all)
 {
-    m_isKnown = true;
-    m_isReached = true;
+    m_hasAnswer = true;
+    m_isStoreReached = true;
     m_version = all.nextVersion;
     m_completeFrom = all.nextVersion;
     m_removals.clear();
@@ -48,32 +48,32 @@
     for (const StoredObject &object : all.objects) {
         m_objects[object.key] = object;
     }
-    answerAll();
+    answerWaiters();
 }
 
-void WatchLog::noteLost()
+void WatchLog::noteStoreLost()
 {
-    m_isKnown = true;
-    m_isReached = false;
-    answerAll();
+    m_hasAnswer = true;
+    m_isStoreReached = false;
+    answerWaiters();
 }
 
 void WatchLog::watch(std::uint64_t fromVersion, Callback callback)
 {
-    const auto answer = answerNow(fromVersion);
+    const auto answer = currentAnswer(fromVersion);
     const bool isList = fromVersion == 0;
     if (answer && (!answer->ok() || isList || !(*answer)->objects.empty())) {
         return callback(*answer);
     }
-    m_waiting.push_back({fromVersion, std::move(callback)});
+    m_waiters.push_back({fromVersion, std::move(callback)});
 }
 
-std::optional<absl::StatusOr<StoreChanges>> WatchLog::answerNow(std::uint64_t fromVersion) const
+std::optional<absl::StatusOr<StoreChanges>> WatchLog::currentAnswer(std::uint64_t fromVersion) const
 {
-    if (!m_isKnown) {
+    if (!m_hasAnswer) {
         return std::nullopt;
     }
-    if (!m_isReached) {
+    if (!m_isStoreReached) {
         return makeFailure(FailureCode::StoreUnavailable, "the gateway that watches does not reach the store");
     }
     const bool isList = fromVersion == 0;
@@ -96,11 +96,11 @@
     return changes;
 }
 
-void WatchLog::answerAll()
+void WatchLog::answerWaiters()
 {
-    const std::vector<Waiting> waiting = std::exchange(m_waiting, {});
-    for (const Waiting &it : waiting) {
-        it.callback(*answerNow(it.fromVersion));
+    const std::vector<Waiter> waiters = std::exchange(m_waiters, {});
+    for (const Waiter &it : waiters) {
+        it.callback(*currentAnswer(it.fromVersion));
     }
 }
 
--- a/src/libradishswitch/serving/watchlog.h
+++ b/src/libradishswitch/serving/watchlog.h
@@ -28,16 +28,16 @@
     void noteListed(const StoreChanges &all);
 
     /// The store does not answer. Those that wait get StoreUnavailable, and those that ask from now on.
-    void noteLost();
+    void noteStoreLost();
 
     /// Calls back with what changed after `fromVersion`, now or with the store's next word; with everything for version
     /// zero. HistoryGone when that is not known here, StoreUnavailable while the store is lost. Before the first word
     /// of the store it waits: after a loss of power all of a zone start at once, and one list is to do for all.
     void watch(std::uint64_t fromVersion, Callback callback);
 
-    std::size_t waiting() const
+    std::size_t waiters() const
     {
-        return m_waiting.size();
+        return m_waiters.size();
     }
 
 private:
@@ -46,27 +46,27 @@
         std::string key;
     };
 
-    struct Waiting {
+    struct Waiter {
         std::uint64_t fromVersion = 0;
         Callback callback;
     };
 
     /// Removals kept; about a minute of the busiest times.
-    static constexpr std::size_t kMostRemovals = 256;
+    static constexpr std::size_t kMaxRemovals = 256;
 
-    std::optional<absl::StatusOr<StoreChanges>> answerNow(std::uint64_t fromVersion) const;
-    void answerAll();
+    std::optional<absl::StatusOr<StoreChanges>> currentAnswer(std::uint64_t fromVersion) const;
+    void answerWaiters();
 
     void applyChange(const StoredObject &object);
 
     std::map<std::string, StoredObject> m_objects;
     std::deque<Removal> m_removals;
-    std::vector<Waiting> m_waiting;
+    std::vector<Waiter> m_waiters;
     /// Removals after this version are all in `m_removals`.
     std::uint64_t m_completeFrom = 0;
     std::uint64_t m_version = 0;
-    bool m_isKnown = false;
-    bool m_isReached = false;
+    bool m_hasAnswer = false;
+    bool m_isStoreReached = false;
 };
 
 }
--- a/tests/core/limits/ceilingmeter_test.cpp
+++ b/tests/core/limits/ceilingmeter_test.cpp
@@ -114,7 +114,7 @@
             if (i >= 3 || phase == 0) {
                 meters[i] = CeilingMeter();
             }
-            meters[i].setParts(1.0 / static_cast<double>(n), m_timers.now());
+            meters[i].setShare(1.0 / static_cast<double>(n), m_timers.now());
             meters[i].setCeilings(m_shop, {.requestsPerSecond = kCeiling}, m_timers.now());
         }
         for (int i = 0; i < 2000; ++i) {
--- a/tests/core/limits/fairqueue_test.cpp
+++ b/tests/core/limits/fairqueue_test.cpp
@@ -126,7 +126,7 @@
 // request of a high priority comes.
 TEST_F(FairQueueTest, next_lastOwnSlot_isKeptForHigherPriorityInUse)
 {
-    const PoolRoom lastSlot{1, 20};
+    const PoolSlots lastSlot{1, 20};
     ASSERT_TRUE(enqueue(request("low")).ok());
     ASSERT_TRUE(enqueue(request("high", 1, 5)).ok());
     EXPECT_EQ(m_queue.next(m_timers.now(), lastSlot)->organisation.value(), "high");
--- a/tests/core/limits/loadshedder_test.cpp
+++ b/tests/core/limits/loadshedder_test.cpp
@@ -75,18 +75,18 @@
 {
     for (int n = 0; n < 4; ++n) {
         shedder.noteRefused(now);
-        EXPECT_FALSE(shedder.isAway(now));
+        EXPECT_FALSE(shedder.isDiverting(now));
         pass(150);
     }
     shedder.noteRefused(now);
-    EXPECT_TRUE(shedder.isAway(now));
+    EXPECT_TRUE(shedder.isDiverting(now));
     pass(2900);
-    EXPECT_TRUE(shedder.isAway(now));
+    EXPECT_TRUE(shedder.isDiverting(now));
     pass(200);
-    EXPECT_FALSE(shedder.isAway(now));
+    EXPECT_FALSE(shedder.isDiverting(now));
     // A single refusal later is a new overload, which may pass by itself.
     shedder.noteRefused(now);
-    EXPECT_FALSE(shedder.isAway(now));
+    EXPECT_FALSE(shedder.isDiverting(now));
 }
 
 /// One processor that serves a line of requests, each for `kServed`, or refuses it in `kRefused`.
@@ -111,7 +111,7 @@
             const std::size_t pass = m_line.size();
             const Instant began = m_now;
             for (std::size_t n = 0; n < pass; ++n) {
-                m_shedder.noteWaiting(m_now - began, m_now);
+                m_shedder.noteOverdue(m_now - began, m_now);
                 serveFirst();
             }
             m_shedder.noteDelay(m_now - began, m_now);
--- a/tests/core/limits/refusalpause_test.cpp
+++ b/tests/core/limits/refusalpause_test.cpp
@@ -20,13 +20,13 @@
     int now = 0;
     for (const int span : {25, 50, 100, 200, 400, 800, 1000, 1000}) {
         pause.noteRefused({}, at(now));
-        EXPECT_TRUE(pause.isOn(at(now + span - 1)));
+        EXPECT_TRUE(pause.isActive(at(now + span - 1)));
         now += span;
-        EXPECT_FALSE(pause.isOn(at(now)));
+        EXPECT_FALSE(pause.isActive(at(now)));
     }
-    pause.noteTaken(at(now));
+    pause.noteAccepted(at(now));
     pause.noteRefused({}, at(now));
-    EXPECT_FALSE(pause.isOn(at(now + 25)));
+    EXPECT_FALSE(pause.isActive(at(now + 25)));
 }
 
 // Guards against a burst of refusals that counts as many in a row.
@@ -35,15 +35,15 @@
     pause.noteRefused({}, at(0));
     pause.noteRefused({}, at(1));
     pause.noteRefused({}, at(2));
-    EXPECT_FALSE(pause.isOn(at(25)));
+    EXPECT_FALSE(pause.isActive(at(25)));
 }
 
 // Guards against long answers that go on and make an endpoint look as if it took new calls.
 TEST_F(RefusalPauseTest, callSentBeforeTheRefusal_doesNotEndIt)
 {
     pause.noteRefused({}, at(100));
-    pause.noteTaken(at(50));
-    EXPECT_TRUE(pause.isOn(at(110)));
-    pause.noteTaken(at(105));
-    EXPECT_FALSE(pause.isOn(at(110)));
+    pause.noteAccepted(at(50));
+    EXPECT_TRUE(pause.isActive(at(110)));
+    pause.noteAccepted(at(105));
+    EXPECT_FALSE(pause.isActive(at(110)));
 }
--- a/tests/core/serving/callallowances_test.cpp
+++ b/tests/core/serving/callallowances_test.cpp
@@ -1,5 +1,5 @@
 #include "base/rendezvous.h"
-#include "limits/slidingcount.h"
+#include "limits/slidingwindowcounter.h"
 #include "serving/callallowances.h"
 
 #include <gtest/gtest.h>
@@ -102,7 +102,7 @@
         return Instant(std::chrono::milliseconds(milliseconds));
     }
 
-    SlidingCount count{std::chrono::seconds(1)};
+    SlidingWindowCounter count{std::chrono::seconds(1)};
 };
 
 // Guards against twice the bound within one second, half of it at the end of one span and half at the start of the
--- a/tests/core/serving/homedirectory_test.cpp
+++ b/tests/core/serving/homedirectory_test.cpp
@@ -191,7 +191,7 @@
 TEST_F(HomeDirectoryTest, ownEntryNotListedYet_itsZoneIsKnownAllTheSame)
 {
     HomeDirectory self("self");
-    self.setOwn({"10.0.0.9:1", 0.1, "east"});
+    self.setOwnPeer({"10.0.0.9:1", 0.1, "east"});
     self.setPeers({{"strong", {"10.0.0.1:1", 1, "east"}}, {"other", {"10.0.0.2:1", 1, "west"}}});
     EXPECT_EQ(self.watcher(at(0)), "strong");
 }
--- a/tests/core/serving/objectfollower_test.cpp
+++ b/tests/core/serving/objectfollower_test.cpp
@@ -117,8 +117,8 @@
 {
     put("one");
     std::vector<bool> contacts;
-    follower.setContactCallback([&contacts](bool isReached) {
-        contacts.push_back(isReached);
+    follower.setReachabilityCallback([&contacts](bool isStoreReachable) {
+        contacts.push_back(isStoreReachable);
     });
     store.failNextWatch = makeFailure(FailureCode::StoreUnavailable, "away");
     follower.start();
--- a/tests/core/serving/relayedstore_test.cpp
+++ b/tests/core/serving/relayedstore_test.cpp
@@ -119,10 +119,10 @@
 }
 
 /// A gateway that is cut off from the store, and a home beside an endpoint that is not.
-class DetourTest : public testing::Test
+class ReadThroughHomeTest : public testing::Test
 {
 protected:
-    DetourTest()
+    ReadThroughHomeTest()
         : homes("g")
         , relayed(link, homes, port, timers, std::chrono::seconds(1))
     {
@@ -167,7 +167,7 @@
 
 // All gateways are cut off from the store just after endpoints crashed. Those that start in their place are known only
 // to the store; gateways that asked nobody would send everything to the others until the cut ends.
-TEST_F(DetourTest, gatewayCutOff_readsTheStoreThroughAHomeOfItsZone)
+TEST_F(ReadThroughHomeTest, gatewayCutOff_readsTheStoreThroughAHomeOfItsZone)
 {
     put("servers/e1");
     link.setCut(true);
@@ -175,10 +175,10 @@
     ASSERT_TRUE(changes.ok()) << changes.status();
     EXPECT_EQ(changes->objects.size(), 1U);
     EXPECT_EQ(port.asked, std::vector<std::string>{"h-a"});
-    EXPECT_TRUE(relayed.isDetour());
+    EXPECT_TRUE(relayed.isReadingThroughHome());
 }
 
-TEST_F(DetourTest, storeBack_isReadDirectlyAgain)
+TEST_F(ReadThroughHomeTest, storeBack_isReadDirectlyAgain)
 {
     put("servers/e1");
     link.setCut(true);
@@ -188,21 +188,21 @@
     const std::size_t asked = port.asked.size();
     ASSERT_TRUE(list().ok());
     EXPECT_EQ(port.asked.size(), asked);
-    EXPECT_FALSE(relayed.isDetour());
+    EXPECT_FALSE(relayed.isReadingThroughHome());
 }
 
 // The store itself is down, or the homes are gone too: the failure is that of the store, and told at once.
-TEST_F(DetourTest, homesSilentToo_failsAsTheStoreDid)
+TEST_F(ReadThroughHomeTest, homesSilentToo_failsAsTheStoreDid)
 {
     link.setCut(true);
     port.isSilent = true;
     EXPECT_FALSE(list().ok());
-    EXPECT_FALSE(relayed.isDetour());
+    EXPECT_FALSE(relayed.isReadingThroughHome());
     EXPECT_FALSE(list().ok());
     EXPECT_EQ(port.asked, (std::vector<std::string>{"h-a", "h-a"}));
 }
 
-TEST_F(DetourTest, watcherAndHomesHaveLostTheStore_gatewayThatReachesItReadsItItself)
+TEST_F(ReadThroughHomeTest, watcherAndHomesHaveLostTheStore_gatewayThatReachesItReadsItItself)
 {
     // A cut takes the gateway that watches for its zone, and the home that all of the zone would read through. Both say
     // that the store is lost; it answers the others of the zone. One that took their word for it served an older
@@ -251,7 +251,7 @@
 protected:
     ZoneWatcherTest()
     {
-        homes.setOwn({"10.0.0.9:1", 0.1, "a"});
+        homes.setOwnPeer({"10.0.0.9:1", 0.1, "a"});
     }
 
     void nameOthers()
--- a/tests/core/serving/sharedbudgets_test.cpp
+++ b/tests/core/serving/sharedbudgets_test.cpp
@@ -39,25 +39,25 @@
 class FakeLocal : public LocalBudgets
 {
 public:
-    void reserveHere(const ReservationRequest &request, ReservationCallback callback) override
+    void reserveLocally(const ReservationRequest &request, ReservationCallback callback) override
     {
         ++asked;
         callback(status.ok() ? absl::StatusOr<Reservation>(Reservation{PortionId("p"), request.tokens})
                              : absl::StatusOr<Reservation>(status));
     }
 
-    bool isLedgerAway(const BudgetId &) const override
+    bool isLedgerUnreachable(const BudgetId &) const override
     {
-        return isAway;
+        return isLedgerLost;
     }
 
-    void settleHere(const RequestId &, std::int64_t usedTokens) override
+    void settleLocally(const RequestId &, std::int64_t usedTokens) override
     {
         settled.push_back(usedTokens);
     }
 
     absl::Status status;
-    bool isAway = false;
+    bool isLedgerLost = false;
     int asked = 0;
     std::vector<std::int64_t> settled;
 };
@@ -129,7 +129,7 @@
 {
     homes.setPeers({{"self", {"10.0.0.1:1", 1000}}, {"next", {"10.0.0.3:1", 0.001}}});
     local.status = makeFailure(FailureCode::BudgetUnavailable, "away");
-    local.isAway = true;
+    local.isLedgerLost = true;
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_EQ(peers.asked, std::vector<std::string>{"next"});
     budgets.settle(RequestId("c1"), 9);
@@ -153,7 +153,7 @@
     peers.answers["next"] = makeFailure(FailureCode::BudgetUnavailable, "away");
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_EQ(local.asked, 1);
-    local.isAway = true;
+    local.isLedgerLost = true;
     EXPECT_EQ(failureCode(reserve("c2")), FailureCode::BudgetUnavailable);
     EXPECT_EQ(local.asked, 1);
 }
--- a/tests/core/serving/watchlog_test.cpp
+++ b/tests/core/serving/watchlog_test.cpp
@@ -78,7 +78,7 @@
 {
     log.noteListed(changes({}, 10));
     ask(10);
-    log.noteLost();
+    log.noteStoreLost();
     ask(10);
     ASSERT_EQ(answers.size(), 2U);
     for (const auto &answer : answers) {
--- a/tests/radishswitch-home/prepaidbudgets_test.cpp
+++ b/tests/radishswitch-home/prepaidbudgets_test.cpp
@@ -39,7 +39,7 @@
                                    timers.now() + std::chrono::seconds(1)};
         request.isStandIn = isStandIn;
         request.allowance = allowance;
-        budgets.reserveHere(request, [&result](const absl::StatusOr<Reservation> &reservation) {
+        budgets.reserveLocally(request, [&result](const absl::StatusOr<Reservation> &reservation) {
             result = reservation.status();
         });
         for (int n = 0; n < 200; ++n) {
