--- a/src/libradishswitch/limits/ceilingmeter.cpp
+++ b/src/libradishswitch/limits/ceilingmeter.cpp
@@ -85,7 +85,8 @@
 
 void CeilingMeter::takeFrom(Meter &meter, std::int64_t tokens, Instant now)
 {
-    // A bucket without a ceiling never fills; taking from it would leave a debt for the day on which one is set.
+    // Without a ceiling the bucket's rate is zero and it never refills. Tokens taken from it now would be a debt on the
+    // day a ceiling is set.
     if (meter.ceilings.requestsPerSecond > 0) {
         meter.requests.take(1, now);
     }
--- a/src/libradishswitch/limits/ceilingmeter.h
+++ b/src/libradishswitch/limits/ceilingmeter.h
@@ -12,7 +12,7 @@
 namespace RadishSwitch
 {
 
-/// An organisation's ceilings over the whole fleet, as in the table. Zero stands for no ceiling.
+/// An organisation's fleet-wide ceilings, as configured in the table. Zero means that there is no ceiling.
 struct OrganisationCeilings {
     double requestsPerSecond = 0;
     double tokensPerSecond = 0;
@@ -21,31 +21,31 @@
     bool operator==(const OrganisationCeilings &) const = default;
 };
 
-/// Holds organisations to this process's part of their ceilings.
+/// Enforces this process's share of the organisations' ceilings.
 ///
-/// The stated error, as long as the parts of all processes add up to no more than one. Requests: in any span of T
-/// seconds the fleet admits at most `ceiling * T` plus a burst, which is one second's worth of the ceiling, but no less
-/// than one request in each process, since a smaller part would never admit anything; and a process that joins in that
-/// span brings its part of the burst once more. Tokens: the same with one
-/// second's worth of tokens, where a request counts with its worst case from its admission and with its true use from
-/// its end; so a span may also take what requests under way at its beginning had reserved and did not use, and one
-/// request larger than the burst. Concurrent requests: the ceiling, but no less than one request in each process.
+/// The following bounds hold as long as the shares of all processes add up to at most one. Requests: in any span of T
+/// seconds the fleet admits at most `ceiling * T` plus a burst of one second's worth of the ceiling. The burst is at
+/// least one request in each process, since a smaller bucket would never admit anything, and a process that joins
+/// during the span adds its share of the burst once more. Tokens: the same, with a burst of one second's worth of
+/// tokens. A request counts with its worst case from its admission on and with its actual use from its end on. A span
+/// may therefore also contain what requests already running at its start had reserved and did not use, and one request
+/// larger than the burst. Concurrent requests: the ceiling, but at least one request in each process.
 class CeilingMeter
 {
 public:
     /// Sets or changes the fleet-wide ceilings of an organisation.
     void setCeilings(const OrganisationId &organisation, const OrganisationCeilings &ceilings, Instant now);
 
-    /// Sets which part of every ceiling is this process's, from 0 to 1.
+    /// Sets the share of every ceiling that this process may use, from 0 to 1.
     void setShare(double shareOfFleet, Instant now);
 
-    /// Counts a request in, with its worst case in tokens, or fails with CeilingReached and the time after which it
-    /// would fit. For the rates that time is exact as long as nobody else takes the room; for concurrency it is the
-    /// mean time until a request ends.
+    /// Admits a request with its worst case in tokens, or fails with CeilingReached and the time after which the
+    /// request would fit. For the rates that time is exact unless other requests use up the room first. For concurrency
+    /// it is the mean time until a running request ends.
     absl::Status admit(const OrganisationId &organisation, std::int64_t tokens, Instant now);
 
-    /// A request that was admitted is over: it used `used` of the `tokens` it was admitted with. Refused further on,
-    /// it used none.
+    /// Ends an admitted request that used `used` of the `tokens` it was admitted with. A request that was refused
+    /// further along the way used none.
     void noteFinished(const OrganisationId &organisation, std::int64_t tokens, std::int64_t used, Duration ran,
                       Instant now);
 
--- a/src/libradishswitch/limits/endpointbackoff.cpp
+++ b/src/libradishswitch/limits/endpointbackoff.cpp
@@ -41,7 +41,7 @@
     }
 }
 
-// Never longer than the backoff itself: an endpoint that is well again must not be starved.
+// The spread never exceeds the backoff itself, so that an endpoint that has recovered gets calls again soon.
 Duration EndpointBackoff::spread(Duration span, std::size_t gateways, const EndpointBackoffSettings &settings) const
 {
     const auto others = static_cast<double>(std::max<std::size_t>(gateways, 1) - 1);
--- a/src/libradishswitch/limits/endpointbackoff.h
+++ b/src/libradishswitch/limits/endpointbackoff.h
@@ -8,26 +8,29 @@
 {
 
 struct EndpointBackoffSettings {
-    /// Longer demands count as so long.
+    /// Upper bound on a backoff. A longer one requested by an endpoint is cut to this.
     Duration longest = std::chrono::hours(24);
-    /// Between the returns of two gateways.
+    /// Intended time between the first calls of two gateways after the backoff.
     Duration retryGap = std::chrono::milliseconds(20);
-    /// The returns of all are spread over no more than this part of the backoff, at first.
+    /// For a first request for backoff, the gateways' first calls afterwards are spread over at most this share of the
+    /// backoff.
     double spreadShare = 0.5;
 
     bool operator==(const EndpointBackoffSettings &) const = default;
 };
 
-/// How long an endpoint that asked for backoff is left alone by this process.
+/// How long this process sends no calls to an endpoint that asked for backoff.
 ///
-/// Load pattern: an endpoint that has too much to do turns away the calls of all gateways within a moment, with the
-/// same time. When that is over it is idle and looks best to all of them: they come back together, and it turns them
-/// away again. So each comes back a little later by jitter, over a time that doubles with each demand made at a return.
+/// Load pattern: an overloaded endpoint refuses the calls of all gateways within a moment and gives all of them the
+/// same backoff. When the backoff ends, the endpoint is idle and looks best to every gateway. They all return at once,
+/// and the endpoint refuses their calls again. Each gateway therefore returns after an additional random delay, whose
+/// range doubles each time the endpoint asks for backoff again on the return.
 class EndpointBackoff
 {
 public:
-    /// The endpoint wants nothing for a time, or for as long as it has said already. `gateways` may have been told the
-    /// same; `jitter`, from 0 to 1, is drawn anew. Gives whether that is longer than what was known.
+    /// Handles an endpoint's request for a backoff of `span`. `gateways` is the number of gateways that may have
+    /// received the same request, `jitter` a fresh random number from 0 to 1. Returns whether the backoff became
+    /// longer.
     bool extend(Duration span, std::size_t gateways, double jitter, Instant now,
                 const EndpointBackoffSettings &settings = {});
 
@@ -36,13 +39,14 @@
         return now < m_retryAt;
     }
 
-    /// When calls may go there again.
+    /// When calls may be sent to the endpoint again.
     Instant retryAt() const
     {
         return m_retryAt;
     }
 
-    /// A call was taken: where it was sent after the backoff, the next demand is a first one again.
+    /// The endpoint accepted a call. If the call was sent after the backoff, the next request for backoff counts as a
+    /// first one.
     void noteAccepted(Instant sentAt);
 
 private:
@@ -50,7 +54,7 @@
 
     Instant m_requestedUntil = Instant::min();
     Instant m_retryAt = Instant::min();
-    /// Demands made at returns, one after the other.
+    /// How often in a row the endpoint asked for backoff again on the return.
     int m_repeats = 0;
     bool m_isAwaitingRetry = false;
 };
--- a/src/libradishswitch/limits/endpointoverload.h
+++ b/src/libradishswitch/limits/endpointoverload.h
@@ -6,26 +6,26 @@
 {
 
 struct EndpointOverloadSettings {
-    /// Added by an answer that came late, and taken off by one that came in time. Where one answer in eight is late the
-    /// two are in balance; on ordinary days one in fifty is.
+    /// Added to the overload level by each late answer, and subtracted by each answer in time. The two balance when one
+    /// answer in eight is late; without overload about one in fifty is.
     double lateIncrease = 0.15;
     double inTimeDecrease = 0.02;
-    /// As little is borne without turning calls away: a single late answer is chance.
+    /// No calls are refused up to this level, since a single late answer may be chance.
     double threshold = 0.2;
-    /// Some calls go there at any pressure, or nobody would learn that it is over.
+    /// Upper bound on the share of calls to refuse. The remaining calls show when the overload is over.
     double maximum = 0.8;
-    /// Without answers half of it is forgotten in this time.
+    /// Without answers the overload level halves in this time.
     Duration halfLife = std::chrono::seconds(1);
 
     bool operator==(const EndpointOverloadSettings &) const = default;
 };
 
-/// How much more an endpoint is sent than it answers in time, from 0 to 1: the part of new calls to turn away.
+/// Estimates an endpoint's overload from its late answers, as the share of new calls to refuse, from 0 to 1.
 ///
-/// Load pattern: a plain service has lost maximum of its endpoints, and what is left is sent a little more than it can do.
-/// Its queue fills with the calls of many gateways, none of which has more than one or two there; each call waits for
-/// as long as it may take, and all are late. Where a tenth is turned away the queue is short, and the others are in
-/// time.
+/// Load pattern: a service has lost most of its endpoints, and the remaining ones get slightly more calls than they can
+/// answer. Their queues fill with the calls of many gateways, none of which has more than one or two there. Each call
+/// waits for as long as it may, and all answers are late. If a tenth of the calls is refused, the queues are short and
+/// the other calls are answered in time.
 class EndpointOverload
 {
 public:
@@ -39,7 +39,7 @@
     double level(Instant now) const;
 
     EndpointOverloadSettings m_settings;
-    /// Of late answers, with what is threshold of it.
+    /// The overload level, of which the part up to `threshold` is ignored.
     double m_level = 0;
     Instant m_updatedAt{};
 };
--- a/src/libradishswitch/limits/fairqueue.cpp
+++ b/src/libradishswitch/limits/fairqueue.cpp
@@ -14,12 +14,12 @@
 {
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-// A request is let in if its wait takes up to this part of its patience. In steady overload the queue grows until the
-// next request is refused; without a margin, a rate that turns out a little lower than measured would make those at the
-// end of the queue miss their deadlines after they have waited for nearly all of it.
+// A request is admitted if its estimated wait is at most this share of the time until its deadline. In steady overload
+// the queue grows until the next request is refused. Without a margin, a service rate slightly lower than measured
+// would make the requests at the end of the queue miss their deadlines after waiting for nearly all of that time.
 constexpr double kAdmissionMargin = 0.5;
-// A request that was let in is given up when its wait, taken this much longer, passes its deadline: while its caller
-// still has time to go elsewhere.
+// An admitted request is refused as soon as its remaining wait, multiplied by this factor, passes its deadline, so that
+// its caller still has time to try elsewhere.
 constexpr double kExpiryMargin = 1.25;
 constexpr double kTypicalCostStep = 0.1;
 constexpr Duration kIdleQueueRetention = std::chrono::seconds(60);
@@ -223,11 +223,11 @@
     if (it == band->second.queues.end()) {
         return wait;
     }
-    // What waits now tells nothing of what others will send while this request waits, and they go first by their
-    // priority or their share. How fast the queue has been moving does.
+    // The requests that wait now don't tell how many will arrive while this one waits and be served first because of
+    // their priority or share. The rate at which the organisation's queue has been served does.
     OrganisationQueue &queue = it->second;
     queue.rate.advance(!queue.requests.empty(), now);
-    // A queue of few requests moves by fits and starts: n services vary by about the root of n.
+    // A queue of few requests is served irregularly: the number of services varies by about its square root.
     const double spread = std::sqrt(queue.cost * m_typicalCost);
     return std::max(wait, timeToServe(queue.rate, queue.cost + spread));
 }
@@ -263,10 +263,12 @@
             m_refusals.push_back({take(band, organisation, i, now).request, refusal(wait)});
         }
     }
-    // An idle queue is kept for a while for its rate, and while it is ahead of the others.
+    // An idle queue is kept for a while because of its measured rate, and for as long as its virtual time is ahead of
+    // the band's.
     std::erase_if(band.queues, [&](const auto &entry) {
         const OrganisationQueue &queue = entry.second;
-        return queue.requests.empty() && queue.lastFinish <= band.virtualTime && now - queue.lastUsed >= kIdleQueueRetention;
+        return queue.requests.empty() && queue.lastFinish <= band.virtualTime
+            && now - queue.lastUsed >= kIdleQueueRetention;
     });
 }
 
@@ -279,8 +281,8 @@
 
 bool FairQueue::hasSlotFor(int priority, const PoolSlots &slots, Instant now) const
 {
-    // When all slots are taken by low priorities, a request of a high one waits for the first of them to end. With a
-    // slot in reserve it waits only for another one of its own kind.
+    // If low priorities occupied all slots, a request of a high priority would wait for the first of their runs to end.
+    // With reserved slots it waits only for requests of its own or a higher priority.
     const bool isHigherInUse = std::ranges::any_of(m_bands, [&](const auto &entry) {
         return entry.first > priority && now - entry.second.lastRequest < m_settings.reservedFor;
     });
--- a/src/libradishswitch/limits/fairqueue.h
+++ b/src/libradishswitch/limits/fairqueue.h
@@ -18,52 +18,55 @@
 {
 
 struct FairQueueSettings {
-    /// Requests that may wait.
+    /// The number of requests that may wait.
     std::size_t length = 1000;
-    /// The part of the own slots, rounded down, that is kept free for higher priorities.
+    /// The share of the process's own slots, rounded down, that is reserved for higher priorities.
     double reservedShare = 0.05;
-    /// For as long after the last request of a higher priority.
+    /// How long slots stay reserved after the last request of a higher priority.
     Duration reservedFor = std::chrono::seconds(10);
-    /// Bounds on the time after which a refused caller is told to come back.
+    /// Bounds on the retry-after time of a refusal.
     Duration shortestRetryAfter = std::chrono::milliseconds(200);
     Duration longestRetryAfter = std::chrono::seconds(30);
 };
 
-/// The requests that wait for slots of one pool: the highest priority first; within a priority the organisations by
-/// their shares, counted in tokens (start-time fair queueing); within an organisation in order of arrival.
+/// The requests that wait for slots of one pool. The highest priority is served first, within a priority the
+/// organisations by their shares, counted in tokens (start-time fair queueing), and within an organisation in order of
+/// arrival.
 ///
-/// A request whose turn will not come before its deadline, by the rates at which the queue and its organisation's queue
-/// have been served, is refused at once with Overloaded and the time to come back. When the queue is full, the lowest
-/// priority gives way, in it the organisation that has the most waiting for its share, and of that the newest request.
+/// A request is refused at once with Overloaded and a retry-after time when, by the measured rates of the whole queue
+/// and of its organisation's queue, it would not be served before its deadline. When the queue is full, it evicts a
+/// request of the lowest priority, from the organisation with the largest backlog for its share, and of that the
+/// newest.
 class FairQueue
 {
 public:
     explicit FairQueue(FairQueueSettings settings = {});
 
-    /// Changes how many may wait. Those beyond a shorter length stay; new requests must be more deserving than they.
+    /// Changes how many requests may wait. A shorter length evicts no waiting requests at once; from then on each new
+    /// request evicts one, which may be the new one itself.
     void setLength(std::size_t length)
     {
         m_settings.length = length;
     }
 
-    /// Takes the request in, or refuses it at once. Taking it in may make others give way: ask `expire` right after.
+    /// Enqueues the request, or refuses it at once. Enqueuing may evict another request: call `expire` right after.
     absl::Status enqueue(const QueuedRequest &request, Instant now);
 
-    /// The next request to be served in the slots that there is, if there is one. The last free slots are kept for a
-    /// higher priority that has been in use lately.
+    /// Removes and returns the next request to be served with the free slots, if there is one. The last free slots are
+    /// reserved for a higher priority if one was in use recently.
     std::optional<QueuedRequest> next(Instant now, const PoolSlots &slots = {});
 
-    /// The final answers that have become due: requests that gave way, and those that can't make their deadline any
-    /// more. Call it after each `enqueue` and every 50 ms or so.
+    /// Returns the refusals of requests that were evicted and of those that can no longer be served before their
+    /// deadlines. Call it after each `enqueue` and about every 50 ms.
     std::vector<QueueRefusal> expire(Instant now);
 
-    /// Takes out a request whose caller went away. False when it is not waiting.
+    /// Removes a request whose caller disconnected. Returns false if it is not waiting.
     bool remove(const RequestId &request, Instant now);
 
-    /// A served request cost `actual` and not `estimated` tokens: its organisation's turn is moved accordingly.
+    /// Corrects an organisation's virtual time after a served request cost `actual` instead of `estimated` tokens.
     void noteActualCost(const OrganisationId &organisation, int priority, std::int64_t estimated, std::int64_t actual);
 
-    /// How long a request of this kind would wait, by the rate measured. Zero until a rate is known.
+    /// How long such a request would wait at the measured rate. Zero until a rate is known.
     Duration expectedWait(const QueuedRequest &request, Instant now);
 
     std::size_t size() const
@@ -76,10 +79,10 @@
         std::deque<QueuedRequest> requests;
         double share = 1;
         double cost = 0;
-        /// Virtual times of the request at the head and of the one served last.
+        /// Virtual start time of the first request and virtual finish time of the last one served.
         double headStart = 0;
         double lastFinish = 0;
-        /// How fast this queue has been served while something waited in it.
+        /// The rate at which this queue was served while requests waited in it.
         ServiceRate rate;
         Instant lastUsed{};
     };
@@ -99,7 +102,8 @@
         }
     };
 
-    /// One priority: a queue for each organisation, and the queues by the virtual start of their heads.
+    /// The requests of one priority: a queue for each organisation, and the queues ordered by the virtual start times
+    /// of their first requests.
     struct Band {
         std::map<OrganisationId, OrganisationQueue> queues;
         std::set<Head> heads;
--- a/src/libradishswitch/limits/fluidbacklog.h
+++ b/src/libradishswitch/limits/fluidbacklog.h
@@ -5,17 +5,17 @@
 namespace RadishSwitch
 {
 
-/// Backlogs that are served together, each in proportion to its share, as if cost were a fluid.
+/// Backlogs that are served at the same time, each in proportion to its share, as if cost were a fluid.
 class FluidBacklog
 {
 public:
     void add(double cost, double share);
 
-    /// To be called once, between the last `add` and the first `servedAt`.
+    /// Must be called once, after the last `add` and before the first `servedAt`.
     void prepare();
 
-    /// The cost served over all backlogs by the time at which each got `perShare` for one unit of its share, or was
-    /// done.
+    /// The total cost served by the time at which each backlog has received `perShare` for each unit of its share or is
+    /// finished.
     double servedAt(double perShare) const;
 
 private:
@@ -23,7 +23,7 @@
         double perShare = 0;
         double cost = 0;
         double share = 0;
-        /// Over this one and all that are done before it.
+        /// Sums over this backlog and all that finish before it.
         double costSum = 0;
         double shareSum = 0;
     };
--- a/src/libradishswitch/limits/linkshedder.cpp
+++ b/src/libradishswitch/limits/linkshedder.cpp
@@ -8,13 +8,14 @@
 namespace
 {
 
-/// A third of a pool's endpoints may be dark: so many late connections in a row are not chance.
+/// A third of a pool's endpoints may be unreachable at a time, so fewer late connections in a row may be chance.
 constexpr int kMinConsecutiveLate = 8;
 
-/// A queue that makes connections late is worked off within this, and nothing is measured while all are refused.
+/// How long a measurement stays valid. The queue of a full link is worked off within this time, and nothing new is
+/// measured while all requests are refused.
 constexpr Duration kMeasurementLifetime = std::chrono::milliseconds(100);
 
-/// Zones are named by entries that others write.
+/// Bound on the memory used, since the zones' names come from other processes.
 constexpr std::size_t kMaxZones = 1000;
 
 LoadShedderSettings linkSettings(LoadShedderSettings settings)
--- a/src/libradishswitch/limits/linkshedder.h
+++ b/src/libradishswitch/limits/linkshedder.h
@@ -9,21 +9,22 @@
 namespace RadishSwitch
 {
 
-/// Decides when a process whose link is full turns new requests away.
+/// Decides when a process whose network link is full refuses new requests.
 ///
-/// Load pattern: one small instance has the requests of a zone's largest caller, and each byte passes its link twice.
-/// The link's queue grows to half a second while the processor has time to spare: connections to endpoints and answers
-/// of budgets' homes come too late, and so does a new configuration. Callers wait until their deadline.
+/// Load pattern: a small instance gets the requests of a zone's largest caller, and each byte passes its link twice.
+/// The link's queue grows to half a second while the processor is not busy. Connections to endpoints, answers of budget
+/// homes and new configurations arrive too late, and callers wait until their deadlines.
 ///
-/// The measure is how much longer new connections take than the shortest into the same availability zone did. Each
-/// passes the link both ways and waits for nobody's work. One endpoint that takes connections late, or none, says
-/// nothing of the link: only when each of the last connections was late, whatever endpoint it led to, is the link.
+/// The measure is how much longer new connections take than the shortest so far into the same availability zone. Each
+/// connection passes the link in both directions and depends on nobody's work. A single endpoint that accepts
+/// connections late, or not at all, says nothing about the link. The link counts as full only when each of the last
+/// connections was late, whichever endpoint it led to.
 class LinkShedder
 {
 public:
     explicit LinkShedder(LoadShedderSettings settings = {});
 
-    /// A connection into `zone` took so long to make, or was given up after so long.
+    /// A connection into `zone` was established, or given up, after `taken`.
     void noteConnected(const std::string &zone, Duration taken, Instant now);
 
     /// Whether new requests are to be refused.
@@ -32,7 +33,7 @@
         return m_shedder.isShedding(now);
     }
 
-    /// A request was refused for want of room on the link.
+    /// A request was refused because the link is full.
     void noteRefused(Instant now)
     {
         m_shedder.noteRefused(now);
--- a/src/libradishswitch/limits/loadshedder.h
+++ b/src/libradishswitch/limits/loadshedder.h
@@ -8,52 +8,54 @@
 {
 
 struct LoadShedderSettings {
-    /// How late the process may run and still take every request. The tightest targets of callers are 120 to 150 ms,
-    /// of which their answer takes 30.
+    /// How late the process may run its tasks and still accept every request. The tightest latency targets of callers
+    /// are 120 to 150 ms, of which their answer takes 30 ms.
     Duration target = std::chrono::milliseconds(60);
-    /// Later than that at each measurement for so long, it takes no more. A single late one is a process that stood
-    /// still, a quota that was used up or a large configuration that was read, and ends by itself.
+    /// New requests are refused once every measurement during this time was above the target. A single late measurement
+    /// comes from a process that was stopped, an exhausted CPU quota or a large configuration being read, and passes by
+    /// itself.
     Duration overloadAfter = std::chrono::milliseconds(120);
-    /// Requests are taken again once the process is late by no more than this part of the target.
+    /// New requests are accepted again once the delay is at most this share of the target.
     double recoveryShare = 0.5;
-    /// A measurement says nothing after so long.
+    /// How long a measurement stays valid.
     Duration measurementLifetime = std::chrono::milliseconds(500);
-    /// After so long without a refusal overload counts as over; until then one late measurement is enough.
+    /// An overload counts as over this long after its last refusal. Until then a single late measurement is enough to
+    /// refuse requests again.
     Duration overloadGap = std::chrono::seconds(1);
-    /// Overload that lasts so long won't pass by itself: new callers should be sent elsewhere.
+    /// An overload that lasts this long won't pass by itself: new callers should be sent to other instances.
     Duration divertAfter = std::chrono::milliseconds(500);
-    /// For so long after the last refusal. A balancer takes two seconds to notice, and as long to come back; shorter,
-    /// the instance would be back in use before it was out of it.
+    /// How long after the last refusal new callers are sent to other instances. A load balancer takes two seconds to
+    /// take an instance out of use and two to bring it back; with a shorter time, it would bring the instance back
+    /// while still taking it out.
     Duration divertFor = std::chrono::seconds(3);
 
     bool operator==(const LoadShedderSettings &) const = default;
 };
 
-/// Decides when a process that has more requests than processor time turns new ones away.
+/// Decides when a process with more requests than processor time refuses new ones.
 ///
-/// Load pattern: the balancer picks an instance by a hash of the caller, so that one caller with many requests meets
-/// one small instance: 3,600 calls where its neighbours had 200 to 570. Left in line, all of them are late; callers
-/// leave after a second unread, and the work on their calls is wasted. One that is refused at once is served by another
-/// instance in time, since callers go there with their next try.
+/// Load pattern: the load balancer picks an instance by a hash of the caller, so that a caller with many requests may
+/// meet a small instance: it got 3,600 calls when its neighbours got 200 to 570. If all of them were queued, all would
+/// be late. Callers disconnect after a second, and the work on their calls is wasted. A caller that is refused at once
+/// retries on another instance and is served there in time.
 ///
-/// The measure is how late the process runs its own tasks, which counts its processor, whatever share of a core it has,
-/// and nothing else.
+/// The measure is how late the process runs its own tasks. It depends only on the processor time that the process gets,
+/// whatever share of a core that is.
 class LoadShedder
 {
 public:
     explicit LoadShedder(LoadShedderSettings settings = {});
 
-    /// The process ran a task so much later than it was due.
+    /// The process ran a task `delay` later than it was due.
     void noteDelay(Duration delay, Instant now);
 
-    /// A task that was due so long ago has not run yet. Without it a line that grows fourfold each time it is worked
-    /// off would be measured again only at its end.
+    /// A task that was due `waited` ago has not run yet. Without this the delay of a growing queue would be measured
+    /// only after the queue was worked off, when it may have grown fourfold.
     void noteOverdue(Duration waited, Instant now);
 
     /// Whether new requests are to be refused.
     bool isShedding(Instant now) const;
 
-    /// A request was refused.
     void noteRefused(Instant now);
 
     /// Whether new callers should be sent to other instances.
@@ -63,11 +65,11 @@
     bool isOverloadOngoing(Instant now) const;
 
     const LoadShedderSettings m_settings;
-    /// Since when each measurement was above the target.
+    /// When the first of the measurements above the target in a row was made.
     std::optional<Instant> m_lateSince;
     Instant m_measuredAt = Instant::min();
     bool m_isShedding = false;
-    /// First and last refusal of the overload at hand.
+    /// First and last refusal of the current overload.
     Instant m_overloadBegan = Instant::min();
     std::optional<Instant> m_lastRefusal;
     bool m_isDiverting = false;
--- a/src/libradishswitch/limits/queuedrequest.h
+++ b/src/libradishswitch/limits/queuedrequest.h
@@ -14,19 +14,19 @@
 struct QueuedRequest {
     RequestId request;
     OrganisationId organisation;
-    /// The higher goes first, whatever the shares.
+    /// Requests of a higher priority are served first, whatever the shares.
     int priority = 0;
     /// The organisation's weight among those of the same priority; above zero.
     double share = 1;
-    /// Tokens, by the worst case.
+    /// Worst case in tokens.
     std::int64_t cost = 1;
-    /// The last moment at which it still helps to leave the queue.
+    /// The latest time at which serving the request is still of use.
     Instant deadline{};
 
     bool operator==(const QueuedRequest &) const = default;
 };
 
-/// The final answer to a request that was in the queue and will not be served.
+/// The final answer to a queued request that won't be served.
 struct QueueRefusal {
     RequestId request;
     absl::Status status;
--- a/src/libradishswitch/limits/refusalpause.h
+++ b/src/libradishswitch/limits/refusalpause.h
@@ -8,23 +8,24 @@
 {
 
 struct RefusalPauseSettings {
-    /// After a refusal; doubled by each that follows without a call taken in between.
+    /// The pause after a first refusal. It doubles with each further refusal, up to `longest`, until the endpoint
+    /// accepts a call.
     Duration first = std::chrono::milliseconds(25);
     Duration longest = std::chrono::seconds(1);
 
     bool operator==(const RefusalPauseSettings &) const = default;
 };
 
-/// How long an endpoint that turned a call away, without saying for how long, is sent nothing.
+/// How long this process sends no calls to an endpoint that refused one without giving a retry-after time.
 ///
-/// Load pattern: some endpoints turn away all that they are sent. A refusal comes at once, so that they have nothing
-/// under way and look best of all; they get more calls than those that answer.
+/// Load pattern: some endpoints refuse every call. A refusal comes at once, so these endpoints have no calls in
+/// progress, look best to the gateway, and get more calls than the endpoints that answer.
 class RefusalPause
 {
 public:
     void noteRefused(const RefusalPauseSettings &settings, Instant now)
     {
-        // Calls that were under way together are turned away together.
+        // Calls that were in progress at the same time are refused together and count as one refusal.
         if (isActive(now)) {
             return;
         }
@@ -33,8 +34,8 @@
         m_until = now + m_span;
     }
 
-    /// A call was taken. One that was sent before the refusal says nothing: long answers go on while all that is new is
-    /// turned away.
+    /// The endpoint accepted a call. Calls sent before the refusal don't count, since long answers go on while the
+    /// endpoint refuses all new calls.
     void noteAccepted(Instant sentAt)
     {
         if (sentAt >= m_refusedAt) {
--- a/src/libradishswitch/limits/retrybudget.cpp
+++ b/src/libradishswitch/limits/retrybudget.cpp
@@ -26,7 +26,7 @@
             makeFailure(FailureCode::OutcomeUnknown, "a non-idempotent request may have started"));
     }
     if (query.attempts >= m_settings.attempts) {
-        return makeFailure(FailureCode::EndpointFailed, "the request was tried often enough");
+        return makeFailure(FailureCode::EndpointFailed, "all attempts of the request are used up");
     }
     const Duration wait = backoff(query.attempts);
     if (now + wait + query.shortestRun > query.deadline) {
@@ -50,7 +50,7 @@
     constexpr int kMaxDoublings = 20;
     const Duration span = m_settings.firstBackoff * (1 << std::clamp(attempts - 1, 0, kMaxDoublings));
     const Duration longest = std::min(span, m_settings.longestBackoff);
-    // Half of it is fixed and half random: requests that failed together do not come back together.
+    // Half of the backoff is fixed and half random, so that requests that failed together are not retried together.
     const double factor = 0.5 + 0.5 * m_random.fraction();
     return Duration(static_cast<Duration::rep>(static_cast<double>(longest.count()) * factor));
 }
--- a/src/libradishswitch/limits/retrybudget.h
+++ b/src/libradishswitch/limits/retrybudget.h
@@ -9,21 +9,22 @@
 {
 
 struct RetrySettings {
-    /// Retries for each first attempt, in the long run.
+    /// Retries for each first attempt, averaged over time.
     double share = 0.1;
-    /// Retries that may be saved up, so that a quiet fleet still gets over one endpoint's loss.
+    /// Number of unused retries that are kept, so that a fleet with few requests can still retry after losing an
+    /// endpoint.
     double burst = 10;
     int attempts = 3;
     Duration firstBackoff = std::chrono::milliseconds(50);
     Duration longestBackoff = std::chrono::seconds(2);
 };
 
-/// An attempt that failed and might be made again.
+/// A failed attempt that might be retried.
 struct RetryQuery {
-    /// Attempts made so far, one or more.
+    /// Number of attempts so far, at least one.
     int attempts = 1;
     bool isIdempotent = true;
-    /// Whether every agent that was sent the run has proved that it did not start and never will.
+    /// Whether every agent that was sent the run has proved that it did not start the run and never will.
     bool isProvedNotStarted = false;
     /// The caller's deadline, and the least time that a further attempt needs.
     Instant deadline{};
@@ -32,8 +33,8 @@
 
 /// Grants retries as a share of first attempts.
 ///
-/// When all endpoints fail, a retry for each request doubles the load on what is left, and the failure feeds itself.
-/// A budget bounds retries to a small share of the load, whatever fails.
+/// If all endpoints fail and every request is retried, the load on the remaining endpoints doubles and makes them fail
+/// too. The budget bounds retries to a small share of the load, whatever fails.
 class RetryBudget
 {
 public:
@@ -41,12 +42,12 @@
 
     void noteFirstAttempt();
 
-    /// The backoff before the next attempt, jittered; takes one retry from the budget. Fails with OutcomeUnknown for a
-    /// non-idempotent request that may have started, DeadlineExceeded when no time is left for it, EndpointFailed when
-    /// it was tried often enough, and Overloaded when the budget is spent.
+    /// Takes one retry from the budget and returns the jittered backoff before the next attempt. Fails with
+    /// OutcomeUnknown for a non-idempotent request that may have started, DeadlineExceeded when there is no time for
+    /// another attempt, EndpointFailed when all attempts were used, and Overloaded when the budget is exhausted.
     absl::StatusOr<Duration> retry(const RetryQuery &query, Instant now);
 
-    /// A retry that was granted was not made.
+    /// Returns a granted retry that was not made to the budget.
     void giveBack();
 
 private:
--- a/src/libradishswitch/limits/servicerate.h
+++ b/src/libradishswitch/limits/servicerate.h
@@ -8,20 +8,20 @@
 namespace RadishSwitch
 {
 
-/// Measures how fast a queue is served while there is something to serve.
+/// Measures the rate at which a queue is served while requests wait in it.
 ///
-/// Looks back over at least a few seconds and a few services, since a pool of long runs frees a slot only now and then;
-/// and no further than a minute.
+/// The measurement covers at least a few seconds and a few services, since a pool with long runs rarely frees a slot,
+/// but never more than a minute.
 class ServiceRate
 {
 public:
-    /// Moves time on; `isBusy` tells whether something was waiting since the last call.
+    /// Advances the time. `isBusy` tells whether requests have been waiting since the last call.
     void advance(bool isBusy, Instant now);
 
     void noteServed(double cost);
 
-    /// Cost a second, with one more service of `typicalCost` counted than was seen: a queue that was not served at all
-    /// for a while has a low rate, but not none. Nothing until enough was seen.
+    /// Cost per second, counting one service of `typicalCost` more than was measured, so that a queue that was not
+    /// served for a while has a low rate and not zero. No value until the measured time is long enough.
     std::optional<double> perSecond(double typicalCost) const;
 
 private:
@@ -32,7 +32,7 @@
 
     void dropOldServices();
 
-    /// Counts busy time only.
+    /// Time during which requests waited.
     Duration m_busyTime{};
     Duration m_windowBegin{};
     std::deque<Service> m_services;
--- a/src/libradishswitch/limits/slidingwindowcounter.h
+++ b/src/libradishswitch/limits/slidingwindowcounter.h
@@ -8,8 +8,8 @@
 namespace RadishSwitch
 {
 
-/// Counts what happened within the last span of time, whichever moment it is asked at. A bucket that fills at a steady
-/// rate lets twice its size through within one span.
+/// Counts events within a sliding window of time. A token bucket refilled at a steady rate would let up to twice its
+/// size through within one window.
 class SlidingWindowCounter
 {
 public:
@@ -18,7 +18,7 @@
     {
     }
 
-    /// Whether fewer than `limit` happened within the span that ends now.
+    /// Whether fewer than `limit` events happened within the window that ends now.
     bool isBelow(std::size_t limit, Instant now) const
     {
         return limit > 0 && (m_times.size() < limit || now - m_times[m_times.size() - limit] >= m_span);
@@ -34,7 +34,7 @@
 
 private:
     const Duration m_span;
-    /// In order.
+    /// Times of the events, in ascending order.
     std::deque<Instant> m_times;
 };
 
--- a/src/libradishswitch/serving/budgetpeerport.h
+++ b/src/libradishswitch/serving/budgetpeerport.h
@@ -7,15 +7,16 @@
 namespace RadishSwitch
 {
 
-/// The way to another gateway as a home of budgets.
+/// Reserves tokens at other processes, as homes of budgets.
 class BudgetPeerPort
 {
 public:
     virtual ~BudgetPeerPort() = default;
 
-    /// Reserves at a peer; the callback comes once. Refusals of the peer's holder as they are; ConnectionLost or
-    /// ConnectionSilent when it can't be reached or nothing is heard of it within `timeout`; LedgerLate when it answers
-    /// others and not this request until its deadline. What it may have reserved all the same is released.
+    /// Reserves at a peer; the callback is called once. Fails with the same errors as the peer's BudgetHolder, with
+    /// ConnectionLost or ConnectionSilent if the peer can't be reached or sends nothing within `timeout`, and with
+    /// LedgerLate if the peer answers other requests but not this one before its deadline. A reservation that the peer
+    /// made after all is released.
     virtual void reserve(const std::string &peer, const ReservationRequest &request, Duration timeout,
                          std::function<void(absl::Status)> callback) = 0;
 
--- a/src/libradishswitch/serving/coalescingstore.cpp
+++ b/src/libradishswitch/serving/coalescingstore.cpp
@@ -29,7 +29,8 @@
 ObjectStore::Callback<StoreChanges> CoalescingStore::makeAnswerCallback(const Query &query)
 {
     return [query, pending = m_pending](const absl::StatusOr<StoreChanges> &changes) {
-        // Those that ask again from their callbacks want news from after this answer.
+        // Callbacks that call again want changes made after this answer, so they must not join the call that has just
+        // ended.
         const auto node = pending->extract(query);
         for (const Callback<StoreChanges> &callback : node.mapped()) {
             callback(changes);
--- a/src/libradishswitch/serving/coalescingstore.h
+++ b/src/libradishswitch/serving/coalescingstore.h
@@ -12,11 +12,11 @@
 namespace RadishSwitch
 {
 
-/// A store of which the same query, asked again while its answer is on the way, is asked once.
+/// A store in which identical calls that are in progress at the same time are sent only once.
 ///
-/// Load pattern: a third of the gateways are turned away by the store and read it through a home, all of one
-/// availability zone through the same one. Each has a watch of the configuration and one of the endpoints there, twice
-/// in less than a second: worked out for 36 gateways, 90 calls a second of what five homes need to ask 13 times.
+/// Load pattern: a third of the gateways are refused by the store and read it through homes, all gateways of one
+/// availability zone through the same home. Each gateway watches the configuration and the endpoints there, twice in
+/// less than a second. Calculated for 36 gateways, that is 90 calls a second for what five homes can get with 13.
 class CoalescingStore : public ForwardingStore
 {
 public:
@@ -26,15 +26,15 @@
     void watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback) override;
 
 private:
-    /// A prefix, and the version from which it is watched; without one it is listed.
+    /// A prefix, and the version from which it is watched; without a version the prefix is listed.
     using Query = std::pair<std::string, std::optional<std::uint64_t>>;
     using PendingCalls = std::map<Query, std::vector<Callback<StoreChanges>>>;
 
-    /// Adds to those that wait for an answer. Whether the query is to be asked.
+    /// Adds a waiter for the answer. Returns whether the call must be sent.
     bool join(const Query &query, Callback<StoreChanges> callback);
     Callback<StoreChanges> makeAnswerCallback(const Query &query);
 
-    /// Shared with the calls under way, which may outlive this.
+    /// Shared with the calls in progress, which may outlive this object.
     std::shared_ptr<PendingCalls> m_pending = std::make_shared<PendingCalls>();
 };
 
--- a/src/libradishswitch/serving/endpointroster.h
+++ b/src/libradishswitch/serving/endpointroster.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "limits/endpointoverload.h"
 #include "limits/endpointbackoff.h"
+#include "limits/endpointoverload.h"
 #include "limits/refusalpause.h"
 #include "limits/slidingwindowcounter.h"
 #include "routing/endpointejection.h"
--- a/src/libradishswitch/serving/eventsplitter.h
+++ b/src/libradishswitch/serving/eventsplitter.h
@@ -8,43 +8,45 @@
 namespace RadishSwitch
 {
 
-/// Cuts a stream of server-sent events into events events without reading more of them than their ids.
+/// Splits a stream of server-sent events into whole events, of which it parses only the ids.
 ///
-/// An endpoint may break off in the middle of an event. Were its bytes passed on as they come, the caller would hold
-/// half an event, and no other endpoint could go on behind it. So the tail of an event is kept back until its end is
-/// there.
+/// An endpoint may break off in the middle of an event. If its bytes were passed on as they arrive, the caller would
+/// have half an event, which no other endpoint could continue. An incomplete event is therefore held back until its end
+/// arrives.
 class EventSplitter
 {
 public:
-    /// `lastEvent` is the event behind which the stream begins, if the caller has one.
+    /// `lastEvent` is the id of the event after which the stream starts, if the caller has received one.
     explicit EventSplitter(std::optional<std::uint64_t> lastEvent = std::nullopt);
 
-    /// Takes the next bytes and gives those that complete events. Events that were given before, by an earlier run of
-    /// the same stream, are left out.
+    /// Takes the next bytes and returns the events that they complete. Omits events that were returned before, in an
+    /// earlier run of the same stream.
     std::string take(std::string_view bytes);
 
-    /// The endpoint broke off: another run will go on behind the last events event, and what is kept back is dropped.
+    /// Called when the endpoint broke off and another run continues after the last whole event. Drops an incomplete
+    /// event.
     void restart();
 
-    /// The id of the last event given; nothing before the first.
+    /// The id of the last event returned; nothing before the first.
     std::optional<std::uint64_t> lastEvent() const
     {
         return m_lastEvent;
     }
 
-    /// Events given so far.
+    /// Number of events with an id returned so far.
     std::int64_t count() const
     {
         return m_count;
     }
 
-    /// Whether an event was missing between two that were given. What was given up to the gap is sound.
+    /// Whether an event was missing between two events. The events returned before the gap are valid; none are returned
+    /// after it.
     bool hasGap() const
     {
         return m_hasGap;
     }
 
-    /// Whether the stream stands between two events.
+    /// Whether no incomplete event is held back.
     bool isBetweenEvents() const
     {
         return m_partialEvent.empty();
--- a/src/libradishswitch/serving/homedirectory.cpp
+++ b/src/libradishswitch/serving/homedirectory.cpp
@@ -15,11 +15,11 @@
 
 constexpr std::string_view kWatchKey = "watch";
 
-/// Of each kind of process so many are kept in the ranking of a key. As many must be unreachable at once before all have
-/// to be makeRanking.
+/// Number of processes of each kind kept in the ranking of a key. Only if that many are unreachable at once must all
+/// processes be ranked.
 constexpr std::size_t kRankedPerKind = 24;
 
-/// Keys are those of the ledger's shards.
+/// Bound on the kept rankings; the keys are those of the ledger's shards.
 constexpr std::size_t kMaxRankings = 1000;
 
 /// Of peers with weights v and w, the first has the greater score for v / (v + w) of all keys.
@@ -176,9 +176,10 @@
     m_watchesAlone = true;
 }
 
-// Whoever watches sends each change to all of its zone. A configuration of 240 kB for twenty gateways takes a link of
-// 20 Mbit/s two seconds, and versions that came faster than that were in force four seconds late in all of the zone;
-// one of 200 Mbit/s takes 0.2 s. Links are as wide as shares of a core are large.
+// The watcher sends each change to all gateways of its zone. Sending a configuration of 240 kB to twenty gateways takes
+// two seconds on a link of 20 Mbit/s, and configurations that changed faster took effect four seconds late in the whole
+// zone. A link of 200 Mbit/s needs 0.2 s. An instance's weight tells its link's bandwidth, which grows with its share
+// of a core.
 std::string HomeDirectory::watcher(Instant now) const
 {
     if (m_watchesAlone) {
--- a/src/libradishswitch/serving/homedirectory.h
+++ b/src/libradishswitch/serving/homedirectory.h
@@ -16,29 +16,30 @@
 {
 
 struct HomeDirectorySettings {
-    /// A peer that could not be reached is not asked for so long, twice as long after each further failure, up to the
-    /// longest. The first is short: a peer that is only busy should not lose its work to others.
+    /// How long a peer is not asked after it could not be reached. Doubles with each further failure up to
+    /// `longestPause`. The first pause is short so that a peer that is only busy does not lose its work to others.
     Duration firstPause = std::chrono::milliseconds(60);
     Duration longestPause = std::chrono::seconds(3);
-    /// Homes and gateways named for one key, besides this gateway itself.
+    /// Maximum number of homes and of gateways among the candidates for one key, not counting this gateway.
     std::size_t maximumHomes = 2;
     std::size_t maximumGateways = 2;
-    /// Gateways with less than this part of the greatest weight in their zone watch for it only when no other can.
+    /// Gateways with less than this share of the greatest weight in their zone become its watcher only if no other
+    /// gateway can.
     double strongShare = 0.5;
 };
 
 enum class PeerKind {
     /// Serves callers, and stands in as a home.
     Gateway,
-    /// Is home of budgets, and reads the store for gateways that are cut off from it. Serves no callers.
+    /// Is home of budgets, and reads the store for gateways that can't reach it. Serves no callers.
     Home,
 };
 
-/// A process of the fleet, as the others know it.
+/// A process of the fleet, as listed for the other processes.
 struct FleetPeer {
-    /// Where the others reach it.
+    /// Address at which other processes reach it.
     std::string address;
-    /// Its share of the work that one gateway does for all, relative to the others.
+    /// Its share of the work done at homes and watchers, relative to the other processes.
     double weight = 1;
     /// Its availability zone.
     std::string zone = {};
@@ -47,63 +48,65 @@
     bool operator==(const FleetPeer &) const = default;
 };
 
-/// Those of `peers` that are gateways.
+/// Returns those of `peers` that are gateways.
 std::map<std::string, FleetPeer> gatewaysAmong(const std::map<std::string, FleetPeer> &peers);
 
-/// Which process does what one does for all: the home of each key.
+/// Determines the home of each key: the process that does for the whole fleet what only one process should do.
 ///
-/// Weighted rendezvous hashing gives all gateways the same answer without a word between them, and large instances more
-/// keys than small ones. Processes that are homes and nothing else go first, since gateways are restarted, overrun and
-/// cut off more often. While a home can't be reached, the next one stands in, then gateways, at last each gateway for
-/// itself. What is done at a home must be safe with any number of homes at a time.
+/// With weighted rendezvous hashing all gateways find the same home without exchanging messages, and large instances
+/// get more keys than small ones. Processes of the kind Home come first, since gateways are restarted, overloaded and
+/// cut off from the network more often. While a home can't be reached, the next one stands in for it, then other
+/// gateways, and finally each gateway works for itself. Work done at a home must therefore be safe with any number of
+/// homes at a time.
 class HomeDirectory
 {
 public:
     HomeDirectory(std::string self, HomeDirectorySettings settings = {});
 
-    /// What the others are told of this process: until the list of all has it, it counts as this.
+    /// Sets what the other processes are told of this one. Used until the list of all processes contains this one.
     void setOwnPeer(const FleetPeer &own);
 
-    /// The processes of the fleet, by their names; this one may be among them.
+    /// Sets the processes of the fleet by their names; this one may be among them.
     void setPeers(const std::map<std::string, FleetPeer> &peers);
 
-    /// Whether the others were named once.
+    /// Whether `setPeers` has been called.
     bool arePeersKnown() const
     {
         return m_arePeersKnown;
     }
 
-    /// This gateway is about to stop: it is the home of nothing any more, as far as there are others.
+    /// Called when this gateway is about to stop: from then on it is the home of no key, unless there are no other
+    /// processes.
     void leave();
 
-    /// Whom to ask for a key, in ranking: the home, then those that stand in for it. This gateway is among them, at its
-    /// place.
+    /// The processes to ask for a key, in this order: its home, then those that stand in for it. This gateway has its
+    /// place among them.
     std::vector<std::string> candidates(std::string_view key, Instant now) const;
 
-    /// Who watches the store for the gateways of this one's zone; this gateway itself, or one that comes before it in
-    /// an ranking that all of the zone share, so that no two wait for each other.
+    /// The gateway that watches the store for this gateway's zone, or this gateway itself. All gateways of a zone rank
+    /// the watchers in the same order, so that no two wait for each other.
     std::string watcher(Instant now) const;
 
-    /// A home that can be reached, in this gateway's zone if there is one; empty when there is none. The same for all
-    /// gateways of a zone.
+    /// A reachable home, in this gateway's zone if there is one there; empty if no home is reachable. All gateways of a
+    /// zone get the same home.
     std::string nearestHome(Instant now) const;
 
-    /// From now on this gateway watches the store itself.
+    /// Makes this gateway its own watcher from now on.
     void watchAlone();
 
-    /// The home of a key, whatever can be reached just now. Peers that have failed many times in a row don't count:
-    /// they are gone for good.
+    /// The home of a key, regardless of whether it can be reached at the moment. Peers that failed many times in a row
+    /// don't count, since they are most likely gone for good.
     std::string usualHome(std::string_view key) const;
 
-    /// The other processes that may be asked now; homes first, else in no ranking that means anything.
+    /// The other processes that may be asked now: homes first, otherwise in no particular order.
     std::vector<std::string> reachablePeers(Instant now) const;
 
-    /// The address of a peer; empty when it is not known.
+    /// The address of a peer; empty if the peer is not known.
     std::string addressOf(const std::string &peer) const;
 
     void noteUnreachable(const std::string &peer, Instant now);
     void noteReached(const std::string &peer);
-    /// The network is back for this gateway: what failed before says nothing any more of any peer.
+    /// Called when this gateway's network works again: earlier failures then say nothing about the peers.
     void forgetFailures();
 
     const std::string &self() const
@@ -115,20 +118,20 @@
     struct PeerState;
     using Rank = std::tuple<bool, double>;
 
-    /// The first of those that may be home of a key, the nearest first: ranking all of a thousand takes a hundred
-    /// times what a look at the first few does.
+    /// The best-ranked processes for a key. Ranking all processes of a fleet of a thousand takes a hundred times as
+    /// long as looking at the first few.
     struct Ranking {
         std::vector<std::string> names;
-        /// Whether there are more.
+        /// Whether processes were left out.
         bool isTruncated = false;
     };
 
-    /// The greater rank is nearer to being the home of a key.
+    /// The process with the greatest rank is the home of the key.
     static Rank rankOf(const PeerState &state, std::uint64_t keyHash);
 
     const Ranking &rankingOf(std::string_view key) const;
     Ranking makeRanking(std::string_view key, std::size_t most) const;
-    /// Whom to ask, of those in `ranking`; nothing when that does not have enough that may be asked.
+    /// The candidates among the processes of `ranking`; nothing if too few of them may be asked.
     std::optional<std::vector<std::string>> candidatesAmong(const Ranking &ranking, Instant now) const;
     std::optional<std::string> usualHomeAmong(const Ranking &ranking) const;
 
--- a/src/libradishswitch/serving/objectfollower.cpp
+++ b/src/libradishswitch/serving/objectfollower.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Doublings after which a pause no longer grows by itself.
+/// Bound on the doublings of the backoff, which reaches its longest long before.
 constexpr int kMaxDoublings = 16;
 
 }
@@ -49,8 +49,8 @@
     }
 }
 
-// The first list may be old: the watch that follows brings what has changed since. Where the store no longer has so
-// much history, the next list is a fresh one, so that an old list never leads to another.
+// The first list may be outdated: the watch that follows brings the changes since. If the store no longer has the
+// history from there on, the next list is an up-to-date one, so that an outdated list never leads to another.
 void ObjectFollower::start()
 {
     m_store.listRelaxed(m_prefix, guarded(&ObjectFollower::handleListed));
@@ -84,8 +84,8 @@
         return list();
     }
     if (!changes.ok()) {
-        // A watch that was not answered in time may have been forgotten by the store, with changes that a further watch
-        // would not tell either.
+        // The store may have dropped a watch that it did not answer in time, together with changes that another watch
+        // would not bring either.
         const bool isRefused = failureCode(changes.status()) == FailureCode::StoreUnavailable;
         return retryLater(changes.status(), isRefused ? &ObjectFollower::watch : &ObjectFollower::list);
     }
@@ -108,7 +108,7 @@
 {
     ++m_failures;
     reportProgress({});
-    // A watch that was cut off is no outage yet; the next call tells.
+    // A single interrupted watch is not yet an outage; the next call shows whether there is one.
     if (m_failures > 1 || failureCode(status) == FailureCode::StoreUnavailable) {
         setStoreReachable(false);
     }
--- a/src/libradishswitch/serving/objectfollower.h
+++ b/src/libradishswitch/serving/objectfollower.h
@@ -13,24 +13,25 @@
 {
 
 struct ObjectFollowerSettings {
-    /// Waits between failed calls: the first, doubled up to the longest, each drawn between half and the whole. Short
-    /// enough that a change made during an outage is known a second after its end.
+    /// Backoff between failed calls: it starts with the first, doubles up to the longest, and is drawn between half and
+    /// all of that. Short enough that a change made during an outage is known a second after its end.
     Duration firstBackoff = std::chrono::milliseconds(100);
     Duration longestBackoff = std::chrono::milliseconds(800);
-    /// After changes the next watch begins so much later: what comes meanwhile is read as one. Reading a configuration
-    /// of 50 kB takes the smallest instances some 30 ms, and in a storm there are sixteen a second.
+    /// How long the next watch is delayed after changes, so that further changes in that time are read as one. Reading
+    /// a configuration of 50 kB takes the smallest instances about 30 ms, and at times of many changes there are
+    /// sixteen a second.
     Duration changePause{};
 };
 
-/// Keeps up with the objects of the platform's store under one prefix: lists them once and then watches, from the
-/// version known on, and lists anew when the store no longer has that much history.
+/// Follows the objects of the platform's store under one prefix: lists them once, then watches them from the version of
+/// the list on, and lists them again if the store no longer has that much history.
 ///
 /// Single-threaded: the store's callbacks must come on the owner's thread.
 class ObjectFollower
 {
 public:
-    /// Everything up to a version is known: by these changes, or by a list, which has all objects; nothing when the
-    /// store failed to answer.
+    /// The result of a call to the store. Everything up to the version of `changes` is known, either from the changes
+    /// since the last call or from a list, which contains all objects. After a failed call `isStoreReachable` is false.
     struct Progress {
         bool isStoreReachable = false;
         bool wasListed = false;
@@ -47,15 +48,15 @@
     ObjectFollower(const ObjectFollower &) = delete;
     ObjectFollower &operator=(const ObjectFollower &) = delete;
 
-    /// Called when the store is lost, and when it answers again.
+    /// Called when the store stops answering, and when it answers again.
     void setReachabilityCallback(ReachabilityCallback callback);
 
-    /// Called with every answer of the store and every failure, after the listener.
+    /// Called after the listener, for every answer of the store and for every failure.
     void setProgressCallback(ProgressCallback callback);
 
     void start();
 
-    /// Whether the store answered last.
+    /// Whether the store answered the last call. A single interrupted watch does not count as a failure.
     bool isStoreReachable() const
     {
         return m_isStoreReachable;
--- a/src/libradishswitch/serving/objectlistener.h
+++ b/src/libradishswitch/serving/objectlistener.h
@@ -7,16 +7,16 @@
 namespace RadishSwitch
 {
 
-/// Hears of the objects that an ObjectFollower follows.
+/// Notified of the objects that an ObjectFollower follows.
 class ObjectListener
 {
 public:
     virtual ~ObjectListener() = default;
 
-    /// All objects, as they stood at one moment: what is not among them does not exist.
+    /// Called with all objects as of one moment. Objects that are not among them don't exist.
     virtual void objectsListed(const std::vector<StoredObject> &objects) = 0;
 
-    /// Objects that changed since, in order; those removed have version zero.
+    /// Called with the objects that changed since, in order. Removed objects have version zero.
     virtual void objectsChanged(const std::vector<StoredObject> &objects) = 0;
 };
 
--- a/src/libradishswitch/serving/probedstore.cpp
+++ b/src/libradishswitch/serving/probedstore.cpp
@@ -13,7 +13,7 @@
 
 constexpr int kMaxDoublings = 10;
 
-/// Nothing is ever kept under it, so that a list of it is answered at once and costs next to nothing.
+/// No object has this prefix, so that listing it is answered at once and costs next to nothing.
 constexpr char kProbePrefix[] = "probe/";
 
 bool isAnswer(const absl::StatusOr<StoreChanges> &changes)
@@ -68,7 +68,7 @@
         return storeCall(recordingOutcome(std::move(callback)));
     }
     if (m_timers.now() < m_nextProbeAt) {
-        return callback(makeFailure(FailureCode::StoreUnavailable, "the store did not answer before"));
+        return callback(makeFailure(FailureCode::StoreUnavailable, "the store did not answer a previous call"));
     }
     probe(storeCall, std::move(callback));
 }
@@ -100,7 +100,7 @@
     };
 }
 
-// Questions that were under way together fail together, and are one failure.
+// Calls that were in progress at the same time fail together and count as one failure.
 void ProbedStore::noteFailed(Instant calledAt)
 {
     if (m_failures > 0 && calledAt <= m_failedAt) {
--- a/src/libradishswitch/serving/probedstore.h
+++ b/src/libradishswitch/serving/probedstore.h
@@ -10,20 +10,20 @@
 {
 
 struct ProbedStoreSettings {
-    /// Pauses between two questions to a store that does not answer: the first, doubled up to the longest, each drawn
-    /// between half and the whole.
+    /// Pause between two probes of a store that does not answer: it starts with the first, doubles up to the longest,
+    /// and is drawn between half and all of that.
     Duration firstPause = std::chrono::milliseconds(200);
     Duration longestPause = std::chrono::seconds(2);
 };
 
-/// The platform's store, which a process asks a single small storeCall while it does not answer.
+/// The platform's store, which is probed with a single small call while it does not answer.
 ///
-/// Load pattern: a third of the fleet is cut off from the store for nine seconds, or the store is away for all. Each
-/// part of each process that follows something there asks again by itself, and each storeCall is paid for: 4,000 calls
-/// more than on a quiet day. One storeCall that is answered at once, of the cheapest kind, tells for all of a process
-/// whether the store is back; until then the others fail at once.
+/// Load pattern: a third of the fleet is cut off from the store for nine seconds, or the store is unavailable for all.
+/// Each part of a process that follows objects retries by itself, and each call costs money: 4,000 calls more than on a
+/// quiet day. A single cheap call shows for the whole process whether the store answers again; until then all other
+/// calls fail at once.
 ///
-/// Holds for lists and watches. Writes have their own limits.
+/// Applies to lists and watches. Writes have their own limits.
 class ProbedStore : public ForwardingStore
 {
 public:
--- a/src/libradishswitch/serving/relayedstore.cpp
+++ b/src/libradishswitch/serving/relayedstore.cpp
@@ -11,14 +11,15 @@
 namespace
 {
 
-/// The store itself is tried again after so long. A try costs the 0.2 s that a new connection is waited for, in which
-/// no news comes; cuts seen last seven to nine seconds.
+/// How long the store is read through a home before the store itself is tried again. A try that fails takes 0.2 s, the
+/// timeout of a new connection, during which no changes arrive. Network partitions seen last seven to nine seconds.
 constexpr Duration kStoreRetryInterval = std::chrono::seconds(2);
 
-/// Gateways of a zone that are asked one after the other before the store itself is.
+/// Number of watchers of a zone that are asked one after the other before the store itself is.
 constexpr int kMaxWatchers = 3;
 
-/// The others are known soon after a start, if the store answers. Longer than that is not waited for them.
+/// How long a watch waits at most until the other processes are known. They are known soon after a start if the store
+/// answers.
 constexpr Duration kMaxPeerWait = std::chrono::seconds(2);
 constexpr Duration kPeerCheckInterval = std::chrono::milliseconds(50);
 
@@ -53,7 +54,8 @@
                          recordingVersion(prefix, std::move(callback)));
 }
 
-ObjectStore::Callback<StoreChanges> RelayedStore::recordingVersion(const std::string &prefix, Callback<StoreChanges> callback)
+ObjectStore::Callback<StoreChanges> RelayedStore::recordingVersion(const std::string &prefix,
+                                                                   Callback<StoreChanges> callback)
 {
     return [this, prefix, callback = std::move(callback)](const absl::StatusOr<StoreChanges> &changes) {
         if (changes.ok()) {
@@ -75,13 +77,12 @@
     if (m_homes.arePeersKnown() || m_timers.now() >= until) {
         return askWatcher(query, 0, std::move(callback));
     }
-    m_timers.after(
-        kPeerCheckInterval,
-        [this, query, until, callback = std::move(callback), alive = std::weak_ptr<int>(m_alive)]() mutable {
-            if (!alive.expired()) {
-                askWhenPeersAreKnown(query, until, std::move(callback));
-            }
-        });
+    m_timers.after(kPeerCheckInterval,
+                   [this, query, until, callback = std::move(callback), alive = std::weak_ptr<int>(m_alive)]() mutable {
+                       if (!alive.expired()) {
+                           askWhenPeersAreKnown(query, until, std::move(callback));
+                       }
+                   });
 }
 
 void RelayedStore::askWatcher(const Query &query, int asked, Callback<StoreChanges> callback)
@@ -94,16 +95,17 @@
                            callback = std::move(callback)](const absl::StatusOr<StoreChanges> &changes) {
         if (changes.ok()) {
             m_homes.noteReached(watcher);
-            return isCurrent(query, *changes) ? callback(changes)
-                                                 : read(query.prefix, query.fromVersion, callback);
+            return isCurrent(query, *changes) ? callback(changes) : read(query.prefix, query.fromVersion, callback);
         }
         const FailureCode code = failureCode(changes.status());
-        // One that doesn't know so much history is sound; the caller lists, and goes on with it.
+        // A watcher whose history does not reach back far enough works properly. The caller lists next and continues
+        // from that list.
         if (code == FailureCode::HistoryGone) {
             return callback(changes);
         }
         m_homes.noteUnreachable(watcher, m_timers.now());
-        // Silence has taken most of the time that news may take. What failed at once leaves time for another.
+        // A silent watcher has used up most of the time in which changes must arrive. After a failure that came at once
+        // there is time to ask another watcher.
         if (code == FailureCode::ConnectionSilent) {
             return read(query.prefix, query.fromVersion, callback);
         }
@@ -120,7 +122,8 @@
 void RelayedStore::read(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback)
 {
     if (m_isReadingThroughHome && m_timers.now() < m_retryStoreAt) {
-        const absl::Status failure = makeFailure(FailureCode::StoreUnavailable, "the store did not answer before");
+        const absl::Status failure =
+            makeFailure(FailureCode::StoreUnavailable, "the store did not answer a previous call");
         return readThroughHome(prefix, fromVersion, failure, std::move(callback));
     }
     readDirectly(
--- a/src/libradishswitch/serving/servingconfiguration.h
+++ b/src/libradishswitch/serving/servingconfiguration.h
@@ -8,39 +8,38 @@
 namespace RadishSwitch
 {
 
-/// What the endpoints of a pool have in common.
+/// Properties that all endpoints of a pool share.
 struct ServedPool {
     PoolId name;
-    /// Connections that one endpoint takes from all callers together; zero when it is not bounded.
+    /// Maximum number of connections that one endpoint accepts from all callers together; zero if it is not limited.
     int maximumConnections = 0;
-    /// Whether model engines serve it.
+    /// Whether the pool's endpoints are model engines.
     bool hasEngines = false;
-    /// Tokens in one event of a stream at most; zero where answers have no tokens.
+    /// Maximum number of tokens in one event of a stream; zero if answers have no tokens.
     int tokensPerEvent = 0;
-    /// Calls a second from all callers together that an endpoint bears while it is cold; zero where that is not
-    /// bounded.
+    /// Calls per second from all callers together that a cold endpoint can handle; zero if they are not limited.
     double coldCallsPerSecond = 0;
-    /// How long an endpoint stays cold after its start; zero where it never is.
+    /// How long an endpoint stays cold after its start; zero if it has no cold phase.
     Duration coldStart{};
 
     bool operator==(const ServedPool &) const = default;
 };
 
-/// An organisation as the configuration in force has it.
+/// An organisation in the current configuration.
 struct ServedOrganisation {
     OrganisationId name;
     std::vector<std::string> apiKeys;
-    /// Replaces the priority of the routes, where it is given; 0 is the most urgent.
+    /// Replaces the priority of the routes if it is set; 0 is the most urgent.
     std::optional<int> priority;
-    /// Tokens paid for in all; nothing where the organisation's use is not limited.
+    /// Number of tokens paid for in total; not set if the organisation's use is not limited.
     std::optional<std::int64_t> prepaidTokens;
-    /// Regions to which its calls are bound; none where they are not bound.
+    /// Regions to which the organisation's calls are restricted; empty if they are not restricted.
     std::vector<std::string> allowedRegions;
 
     bool operator==(const ServedOrganisation &) const = default;
 };
 
-/// Bounds on what callers may send and how long they may take.
+/// Limits on the requests and connections of callers.
 struct CallerLimits {
     std::size_t maximumHeaderBytes = 16 * 1024;
     std::size_t maximumBodyBytes = 8 * 1024 * 1024;
@@ -50,7 +49,7 @@
     bool operator==(const CallerLimits &) const = default;
 };
 
-/// One version of everything that steers the serving of calls.
+/// One version of the configuration by which calls are served.
 struct ServingConfiguration {
     std::uint64_t version = 0;
     std::vector<ServingRoute> routes;
--- a/src/libradishswitch/serving/servingroute.h
+++ b/src/libradishswitch/serving/servingroute.h
@@ -10,26 +10,26 @@
 namespace RadishSwitch
 {
 
-/// Whether a call may be sent to an endpoint again after it may have run.
+/// Whether a call that may have run may be sent to an endpoint again.
 enum class Repetition {
     /// Non-idempotent: at most one run.
     Never,
     /// Idempotent: any number of runs.
     Always,
-    /// A stream that another run can continue behind the last event that the caller has.
+    /// A stream that another run can continue after the last event that the caller received.
     ByResuming,
 };
 
-/// A pool among those over which a route spreads its calls.
+/// A pool to which a route sends part of its calls.
 struct WeightedPool {
     PoolId pool;
-    /// Relative to the other pools of the route; zero takes none.
+    /// Relative to the other pools of the route; a pool with weight zero gets no calls.
     std::int64_t weight = 1;
 
     bool operator==(const WeightedPool &) const = default;
 };
 
-/// One rule that leads calls of a host and a path to pools, with what they may cost in time and tries.
+/// Routes calls with a given host and path prefix to pools, and limits their time and number of attempts.
 struct ServingRoute {
     std::string name;
     /// In lower case, without a port.
@@ -38,19 +38,19 @@
     std::vector<WeightedPool> pools;
     Repetition repetition = Repetition::Never;
     bool isStreamed = false;
-    /// Open to callers without an API key.
+    /// Whether callers need no API key.
     bool isPublic = false;
-    /// The longest time that a caller is kept waiting.
+    /// The longest time that a caller waits for the answer.
     Duration timeout{};
-    /// Within this the answer, or the first event of a stream, is in time.
+    /// The answer, or the first event of a stream, is in time if it arrives within this time.
     Duration targetLatency{};
-    /// The longest pause between events with which a stream is in time; zero where the route tells none.
+    /// The longest pause between two events of a stream that is in time; zero if the route sets none.
     Duration targetGap{};
-    /// Endpoints to which one call may be sent.
+    /// Maximum number of endpoints to which one call is sent.
     int maximumAttempts = 1;
     /// 0 is the most urgent.
     int priority = 0;
-    /// Regions to which its calls are bound; none where they are not bound.
+    /// Regions to which the route's calls are restricted; empty if they are not restricted.
     std::vector<std::string> allowedRegions;
 
     bool operator==(const ServingRoute &) const = default;
--- a/src/libradishswitch/serving/servingtable.h
+++ b/src/libradishswitch/serving/servingtable.h
@@ -11,8 +11,8 @@
 namespace RadishSwitch
 {
 
-/// A configuration with the indexes by which each call is looked up. Immutable, so that a call goes on with the version
-/// under which it began.
+/// A configuration with the indexes in which each call is looked up. Immutable, so that a call keeps the version with
+/// which it began.
 class ServingTable
 {
 public:
@@ -27,17 +27,17 @@
         return m_configuration;
     }
 
-    /// The route of the host whose prefix is the longest that begins the path; null when there is none. The host may
-    /// carry a port and capitals, the path a query.
+    /// The route of the host with the longest prefix that matches the path; null if there is none. The host may contain
+    /// a port and capital letters, the path a query.
     const ServingRoute *findRoute(std::string_view host, std::string_view target) const;
 
-    /// Null when no organisation holds the key.
+    /// Null if no organisation has the key.
     const ServedOrganisation *organisationOfKey(std::string_view apiKey) const;
 
-    /// Null when the configuration does not name the pool.
+    /// Null if the configuration does not contain the pool.
     const ServedPool *findPool(const PoolId &pool) const;
 
-    /// The least priority of the routes to engines, whose calls cost tokens.
+    /// The smallest priority value, which is the most urgent, of the routes to engines. Calls to engines cost tokens.
     int mostUrgentPriority() const
     {
         return m_mostUrgentPriority;
@@ -47,7 +47,8 @@
     bool leadsToEngines(const ServingRoute &route) const;
 
     const ServingConfiguration m_configuration;
-    /// Routes of a host by path prefix. Prefixes end with a slash, so that a lookup tries one prefix a path segment.
+    /// Routes of a host by path prefix. Prefixes end with a slash, so that a lookup tries one prefix for each path
+    /// segment.
     absl::flat_hash_map<std::string, absl::flat_hash_map<std::string, const ServingRoute *>> m_routes;
     absl::flat_hash_map<std::string, const ServedOrganisation *> m_organisations;
     absl::flat_hash_map<PoolId, const ServedPool *> m_pools;
--- a/src/libradishswitch/serving/sharedbudgets.cpp
+++ b/src/libradishswitch/serving/sharedbudgets.cpp
@@ -17,7 +17,7 @@
         || code == FailureCode::Draining;
 }
 
-/// Whether a gateway has used up what it holds and does not reach the ledger, or has not heard of the budget yet.
+/// Whether a gateway has used up its portions and can't reach the ledger, or does not know the budget yet.
 bool lacksLedger(const absl::Status &status)
 {
     const FailureCode code = failureCode(status);
@@ -57,7 +57,7 @@
     if (name != m_homes.self()) {
         return askPeer(search, name);
     }
-    // When the home lacks the ledger and this gateway does too, asking it would only cost a call to the store.
+    // If neither the home nor this gateway reaches the ledger, a reservation here would only cost a call to the store.
     const bool isFutile = lacksLedger(search->lastStatus) && m_local.isLedgerUnreachable(search->request.budget);
     isFutile ? askNext(search) : askLocal(search);
 }
@@ -88,8 +88,8 @@
         return search->callback(status);
     }
     search->lastStatus = status;
-    // The order is the same for all: one stand-in and not each gateway for itself, which would have all of them write
-    // the budget's record at once.
+    // All gateways ask in the same order and therefore meet the same stand-in. If each gateway reserved for itself, all
+    // of them would write the budget's record at once.
     const bool shouldAskNext = isUnreachable(failureCode(status)) || lacksLedger(status);
     shouldAskNext ? askNext(search) : search->callback(status);
 }
--- a/src/libradishswitch/serving/sharedbudgets.h
+++ b/src/libradishswitch/serving/sharedbudgets.h
@@ -10,43 +10,44 @@
 namespace RadishSwitch
 {
 
-/// Where a gateway's own portions are reserved against.
+/// The portions of budgets that this gateway holds itself.
 class LocalBudgets
 {
 public:
     virtual ~LocalBudgets() = default;
 
-    /// As BudgetHolder::reserve.
+    /// Reports the same errors as BudgetHolder::reserve.
     virtual void reserveLocally(const ReservationRequest &request, ReservationCallback callback) = 0;
-    /// Whether the ledger is known not to answer this gateway.
+    /// Whether this gateway is known not to reach the ledger.
     virtual bool isLedgerUnreachable(const BudgetId &budget) const = 0;
     virtual void settleLocally(const RequestId &call, std::int64_t usedTokens) = 0;
 };
 
 struct SharedBudgetsSettings {
-    /// As in LedgerSettings.
+    /// Must equal the number of shards in LedgerSettings.
     std::uint32_t ledgerShards = 64;
-    /// A home that does not answer in this time is passed over. It may have to ask the ledger first, which takes some
-    /// tens of milliseconds; a call's first answer is due in 250.
+    /// A home that does not answer within this time is passed over. The home may have to ask the ledger first, which
+    /// takes some tens of milliseconds; the first answer to a call is due after 250 ms.
     Duration peerTimeout = std::chrono::milliseconds(120);
 };
 
-/// Reserves tokens at the home of each budget, and falls back to other gateways and to this one's own portions while
-/// the home can't be reached or has nothing left.
+/// Reserves tokens at the home of each budget. While the home can't be reached, or can't get tokens from the ledger,
+/// reserves at other gateways or from this gateway's own portions.
 ///
-/// With a portion at each gateway a small budget would lie in pieces too small for one request, and all gateways would
-/// write its record at once. One home for all budgets of a shard of the ledger keeps each budget whole and its object
-/// in one hand. Any number of homes at a time is safe, since each holds portions of its own.
+/// If each gateway held a portion of each budget, a small budget would be split into portions too small for one
+/// request, and all gateways would write its record at once. With one home for all budgets of a shard of the ledger,
+/// each budget stays in one piece and one process writes its object. Any number of homes at a time is safe, since each
+/// holds portions of its own.
 class SharedBudgets
 {
 public:
     SharedBudgets(HomeDirectory &homes, LocalBudgets &local, BudgetPeerPort &peers, TimerService &timers,
                   SharedBudgetsSettings settings = {});
 
-    /// Sets the worst case of a call aside. Errors as BudgetHolder::reserve.
+    /// Reserves the worst case of a call. Reports the same errors as BudgetHolder::reserve.
     void reserve(const ReservationRequest &request, std::function<void(absl::Status)> callback);
 
-    /// Ends a call's reservation, wherever it is, with what the call used.
+    /// Ends a call's reservation, wherever it was made, with the tokens that the call used.
     void settle(const RequestId &call, std::int64_t usedTokens);
 
     std::size_t openCalls() const
@@ -60,7 +61,7 @@
         std::vector<std::string> candidates;
         std::string usualHome;
         std::size_t next = 0;
-        /// How the lastStatus peer refused.
+        /// The status with which the last process refused.
         absl::Status lastStatus;
         std::function<void(absl::Status)> callback;
     };
@@ -77,7 +78,7 @@
     BudgetPeerPort &m_peers;
     TimerService &m_timers;
     const SharedBudgetsSettings m_settings;
-    /// Who holds the reservation of an open call.
+    /// The process that holds the reservation of each open call.
     absl::flat_hash_map<RequestId, std::string> m_holders;
 };
 
--- a/src/libradishswitch/serving/watchlog.cpp
+++ b/src/libradishswitch/serving/watchlog.cpp
@@ -33,7 +33,7 @@
         return;
     }
     m_objects.erase(object.key);
-    // A removal does not tell its version; that of the whole answer is late enough.
+    // A removal has no version of its own. The version of the whole answer is never too early.
     m_removals.push_back({m_version, object.key});
 }
 
@@ -74,14 +74,15 @@
         return std::nullopt;
     }
     if (!m_isStoreReached) {
-        return makeFailure(FailureCode::StoreUnavailable, "the gateway that watches does not reach the store");
+        return makeFailure(FailureCode::StoreUnavailable, "the watching gateway can't reach the store");
     }
     const bool isList = fromVersion == 0;
     if (!isList && fromVersion < m_completeFrom) {
-        return makeFailure(FailureCode::HistoryGone, "the gateway that watches does not know what came after that");
+        return makeFailure(FailureCode::HistoryGone,
+                           "the watching gateway does not have the history since that version");
     }
     StoreChanges changes;
-    // An asker may have heard of more than this gateway.
+    // The asking process may have received a newer version than this gateway.
     changes.nextVersion = std::max(fromVersion, m_version);
     for (const auto &[key, object] : m_objects) {
         if (object.version > fromVersion) {
--- a/src/libradishswitch/serving/watchlog.h
+++ b/src/libradishswitch/serving/watchlog.h
@@ -12,27 +12,30 @@
 namespace RadishSwitch
 {
 
-/// What one gateway knows of a prefix of the store, kept for others that list and watch through it.
+/// The objects and recent changes of a prefix of the store, kept by one gateway for others that list and watch through
+/// it.
 ///
-/// An answer is given when there is news, and also each time the store said that there is none: silence would leave the
-/// others in doubt whether this gateway still hears the store.
+/// Waiting watches are answered when there are changes, and also each time the store reported that there are none.
+/// Otherwise the other gateways could not tell whether this gateway still reaches the store.
 class WatchLog
 {
 public:
     using Callback = ObjectStore::Callback<StoreChanges>;
 
-    /// Changes came from the store, perhaps none: everything up to `changes.nextVersion` is known.
+    /// Adds changes from the store, possibly none: everything up to `changes.nextVersion` is known.
     void noteChanges(const StoreChanges &changes);
 
-    /// Everything was listed anew; what led there is not known.
+    /// Replaces all objects by a new list. The changes that led to it are not known.
     void noteListed(const StoreChanges &all);
 
-    /// The store does not answer. Those that wait get StoreUnavailable, and those that ask from now on.
+    /// The store does not answer. All waiting watches, and all calls from now on, get StoreUnavailable until the store
+    /// answers again.
     void noteStoreLost();
 
-    /// Calls back with what changed after `fromVersion`, now or with the store's next word; with everything for version
-    /// zero. HistoryGone when that is not known here, StoreUnavailable while the store is lost. Before the first word
-    /// of the store it waits: after a loss of power all of a zone start at once, and one list is to do for all.
+    /// Calls back with the changes after `fromVersion`, at once or with the store's next answer, or with all objects if
+    /// `fromVersion` is zero. Fails with HistoryGone if these changes are not known here, and with StoreUnavailable
+    /// while the store does not answer. Before the store's first answer all calls wait: after a power failure all
+    /// gateways of a zone start at the same time, and a single list must do for all of them.
     void watch(std::uint64_t fromVersion, Callback callback);
 
     std::size_t waiters() const
@@ -51,7 +54,7 @@
         Callback callback;
     };
 
-    /// Removals kept; about a minute of the busiest times.
+    /// Number of removals kept, enough for about a minute of the busiest times.
     static constexpr std::size_t kMaxRemovals = 256;
 
     std::optional<absl::StatusOr<StoreChanges>> currentAnswer(std::uint64_t fromVersion) const;
@@ -62,7 +65,7 @@
     std::map<std::string, StoredObject> m_objects;
     std::deque<Removal> m_removals;
     std::vector<Waiter> m_waiters;
-    /// Removals after this version are all in `m_removals`.
+    /// All removals after this version are in `m_removals`.
     std::uint64_t m_completeFrom = 0;
     std::uint64_t m_version = 0;
     bool m_hasAnswer = false;
--- a/src/libradishswitch/serving/watchpeerport.h
+++ b/src/libradishswitch/serving/watchpeerport.h
@@ -8,14 +8,14 @@
 namespace RadishSwitch
 {
 
-/// The way to another gateway's watch logs.
+/// Watches objects through the watch logs of other processes.
 class WatchPeerPort
 {
 public:
     virtual ~WatchPeerPort() = default;
 
-    /// As WatchLog::watch at a peer; ConnectionLost or ConnectionSilent when it can't be reached or does not answer
-    /// within `timeout`.
+    /// Same as WatchLog::watch at a peer. Fails with ConnectionLost or ConnectionSilent if the peer can't be reached or
+    /// does not answer within `timeout`.
     virtual void watch(const std::string &peer, const std::string &prefix, std::uint64_t fromVersion, Duration timeout,
                        ObjectStore::Callback<StoreChanges> callback) = 0;
 };
--- a/tests/core/limits/ceilingmeter_test.cpp
+++ b/tests/core/limits/ceilingmeter_test.cpp
@@ -53,7 +53,7 @@
     EXPECT_TRUE(isAdmitted());
 }
 
-TEST_F(CeilingMeterTest, admit_tokensReached_countsTrueUseFromTheEndOn)
+TEST_F(CeilingMeterTest, admit_tokensReached_countsActualUseAfterEnd)
 {
     m_meter.setCeilings(m_shop, {.tokensPerSecond = 1000}, m_timers.now());
     EXPECT_TRUE(isAdmitted(1000));
@@ -64,9 +64,9 @@
     EXPECT_FALSE(isAdmitted(100));
 }
 
-// A request asks for more tokens than a second's worth of the ceiling. Compared with the burst as it stands, it would
-// be refused for ever, each time with a promise that it fits later.
-TEST_F(CeilingMeterTest, admit_requestLargerThanBurst_isAdmittedAndPaidForAfterwards)
+// Guards against a request larger than one second's worth of tokens that never fits the bucket: it would be refused for
+// ever, each time with the promise that it fits later.
+TEST_F(CeilingMeterTest, admit_requestLargerThanBurst_isAdmittedAndDelaysLaterOnes)
 {
     m_meter.setCeilings(m_shop, {.tokensPerSecond = 100}, m_timers.now());
     EXPECT_TRUE(isAdmitted(1000));
@@ -85,7 +85,7 @@
     EXPECT_EQ(admitAll(), 1);
 }
 
-TEST_F(CeilingMeterTest, setCeilings_again_handsOutNoFreshBurst)
+TEST_F(CeilingMeterTest, setCeilings_changed_grantsNoNewBurst)
 {
     m_meter.setCeilings(m_shop, {.requestsPerSecond = 10}, m_timers.now());
     EXPECT_EQ(admitAll(), 10);
@@ -96,10 +96,10 @@
     EXPECT_EQ(admitAll(), 12);
 }
 
-// A greedy organisation asks all entries at ten times its ceiling, for a minute, while two of five entries join and go
-// again and again. Each entry knows only its part. Whatever the span, the fleet must not admit more than the ceiling,
-// the stated burst, and the burst of those that joined.
-TEST_F(CeilingMeterTest, manyProcesses_greedyOrganisation_neverExceedCeilingTogether)
+// Guards against a fleet that admits more than the ceiling, although each process knows only its share. An organisation
+// sends ten times its ceiling to all entries for a minute, while two of five entries join and leave again and again. In
+// any span the fleet may admit at most the ceiling, the stated burst, and the bursts of the entries that joined.
+TEST_F(CeilingMeterTest, admit_manyProcessesAndGreedyOrganisation_staysWithinCeilingTogether)
 {
     constexpr double kCeiling = 20;
     constexpr Duration kPhase = 10s;
--- a/tests/core/limits/fairqueue_test.cpp
+++ b/tests/core/limits/fairqueue_test.cpp
@@ -31,7 +31,7 @@
         return next ? next->organisation.value() : "";
     }
 
-    /// Serves a backlog at ten requests a second, so that the queue knows its rate.
+    /// Serves a backlog at ten requests per second, so that the queue knows its rate.
     void learnRate()
     {
         for (int i = 0; i < 21; ++i) {
@@ -69,9 +69,10 @@
     EXPECT_EQ(m_queue.next(m_timers.now()), second);
 }
 
-// Three organisations with shares 3:2:1 are all behind, and the one with the least share offers ten times as much as
-// the others, in requests of other sizes. First come, first served would give it nearly everything.
-TEST_F(FairQueueTest, next_greedyOrganisation_sharesMetWithinATenth)
+// Guards against an organisation that gets more than its share by sending more. Three organisations with shares of
+// 3:2:1 have backlogs. The one with the smallest share sends ten times as much as the others, in requests of another
+// size. Served in order of arrival, it would get nearly everything.
+TEST_F(FairQueueTest, next_greedyOrganisation_servesSharesWithinATenth)
 {
     const std::map<std::string, double> shares{{"big", 3}, {"middle", 2}, {"greedy", 1}};
     const std::map<std::string, std::int64_t> costs{{"big", 200}, {"middle", 70}, {"greedy", 400}};
@@ -101,9 +102,9 @@
     }
 }
 
-// An organisation that was idle comes back. What it did not use while it was idle is no credit, but for one request:
-// else it would shut the others out until it had caught up.
-TEST_F(FairQueueTest, next_organisationWasIdle_hasNoCredit)
+// Guards against credit for idle time. If an organisation that returns after being idle were credited with its unused
+// share, the others would get nothing until it had caught up. At most one request of credit is allowed.
+TEST_F(FairQueueTest, next_organisationWasIdle_getsNoCredit)
 {
     for (int i = 0; i < 60; ++i) {
         ASSERT_TRUE(enqueue(request("busy")).ok());
@@ -122,9 +123,9 @@
     EXPECT_GE(served["busy"], 3);
 }
 
-// One slot of twenty is free. Given to a low priority, it would be gone for as long as a run takes when the next
-// request of a high priority comes.
-TEST_F(FairQueueTest, next_lastOwnSlot_isKeptForHigherPriorityInUse)
+// Guards against a low priority that takes the last free slot of twenty: the next request of a high priority would have
+// to wait until that run ends.
+TEST_F(FairQueueTest, next_lastOwnSlot_isReservedForHigherPriorityInUse)
 {
     const PoolSlots lastSlot{1, 20};
     ASSERT_TRUE(enqueue(request("low")).ok());
@@ -139,8 +140,9 @@
     EXPECT_FALSE(m_queue.next(m_timers.now(), {0, 20}).has_value());
 }
 
-// Ten requests a second are served and fifty wait. A request that has two seconds will not be served in time; kept, it
-// would wait for its deadline in vain. It is refused at once, with the time after which the backlog is gone.
+// Guards against requests that wait in vain. Ten requests per second are served and fifty wait, so a request with a
+// deadline in two seconds won't be served in time. It is refused at once, with the time in which the backlog is worked
+// off.
 TEST_F(FairQueueTest, enqueue_deadlineOutOfReach_refusesAtOnceWithRetryAfter)
 {
     learnRate();
@@ -157,9 +159,9 @@
     EXPECT_TRUE(enqueue(request("other", 1, 0, 100, 2s)).ok());
 }
 
-// Requests wait with time enough, and then the service stops: all endpoints restart. What can't be served in time any
-// more is answered as soon as that shows, and not when its deadline comes.
-TEST_F(FairQueueTest, expire_serviceStops_refusesLongBeforeDeadline)
+// Guards against refusals that come only at the deadline. Requests wait with enough time, then all endpoints restart
+// and nothing is served. Requests that can no longer be served in time are refused as soon as that is known.
+TEST_F(FairQueueTest, expire_servingStops_refusesLongBeforeDeadline)
 {
     learnRate();
     for (int i = 0; i < 50; ++i) {
@@ -193,9 +195,10 @@
     EXPECT_EQ(refusals.front().request, late.request);
 }
 
-// The queue is full with the requests of one organisation. Another's request pushes out the newest of those, not the
-// oldest, which has waited and will be served next; and a low priority gives way before a high one.
-TEST_F(FairQueueTest, enqueue_queueFull_newestOfTheGreediestGivesWay)
+// Guards against evicting the wrong request. The queue is full with requests of one organisation. A request of another
+// organisation evicts the newest of these, not the oldest, which is served next. A low priority is evicted before a
+// high one.
+TEST_F(FairQueueTest, enqueue_queueFull_evictsNewestOfLargestBacklog)
 {
     std::vector<QueuedRequest> greedy;
     for (int i = 0; i < 100; ++i) {
@@ -212,7 +215,7 @@
     EXPECT_TRUE(enqueue(request("high", 1, 1)).ok());
 }
 
-TEST_F(FairQueueTest, remove_callerWentAway_isNotServed)
+TEST_F(FairQueueTest, remove_callerDisconnected_isNotServed)
 {
     const QueuedRequest gone = request("a");
     ASSERT_TRUE(enqueue(gone).ok());
@@ -222,9 +225,9 @@
     EXPECT_EQ(nextOrganisation(), "");
 }
 
-// Costs are counted by the worst case, and one organisation's requests use a tenth of it. Without a correction it would
-// get a tenth of its share.
-TEST_F(FairQueueTest, noteActualCost_worstCaseNotUsed_organisationIsServedMore)
+// Guards against an organisation that gets too little because its requests use only a tenth of their worst case, by
+// which costs are counted: without a correction it would get a tenth of its share.
+TEST_F(FairQueueTest, noteActualCost_lessThanEstimated_servesOrganisationMore)
 {
     std::map<std::string, int> served;
     for (int i = 0; i < 40; ++i) {
@@ -242,9 +245,9 @@
     EXPECT_GE(served["short"], 39);
 }
 
-// Three times the capacity is offered, with deadlines of two seconds. A queue that kept everything would serve each
-// request just after its deadline, and nothing would be of use to anybody.
-TEST_F(FairQueueTest, overload_threeTimesTheCapacity_servesAtFullRateInTime)
+// Guards against a queue that accepts everything under overload: with three times the capacity offered and deadlines of
+// two seconds, it would serve each request just after its deadline, which is of use to nobody.
+TEST_F(FairQueueTest, enqueue_threeTimesTheCapacity_servesAtFullRateInTime)
 {
     int served = 0;
     Duration longestHeld{};
--- a/tests/core/limits/linkshedder_test.cpp
+++ b/tests/core/limits/linkshedder_test.cpp
@@ -17,7 +17,7 @@
 class LinkShedderTest : public testing::Test
 {
 protected:
-    /// Connections that took so long each, one every five milliseconds.
+    /// Makes connections of the given duration, one every five milliseconds.
     void connect(int count, Duration taken, const std::string &zone = "near")
     {
         for (int n = 0; n < count; ++n) {
@@ -30,8 +30,8 @@
     Instant now{std::chrono::seconds(100)};
 };
 
-// Guards against callers who wait out their deadline at an instance whose link is full.
-TEST_F(LinkShedderTest, everyConnectionLate_refusesUntilTheyAreQuickAgain)
+// Guards against callers that wait until their deadlines at an instance whose link is full.
+TEST_F(LinkShedderTest, isShedding_everyConnectionLate_refusesUntilConnectionsAreFast)
 {
     connect(20, 3 * kMillisecond);
     connect(40, 150 * kMillisecond);
@@ -42,8 +42,8 @@
     EXPECT_FALSE(shedder.isShedding(now));
 }
 
-// Guards against refusing callers for endpoints that are dark: other connections are quick.
-TEST_F(LinkShedderTest, twoThirdsOfEndpointsDark_refusesNothing)
+// Guards against refusing callers because endpoints are unreachable, while other connections are fast.
+TEST_F(LinkShedderTest, isShedding_twoThirdsOfEndpointsUnreachable_refusesNothing)
 {
     for (int n = 0; n < 100; ++n) {
         connect(2, 150 * kMillisecond);
@@ -52,8 +52,8 @@
     }
 }
 
-// Guards against taking distance for a queue.
-TEST_F(LinkShedderTest, endpointsFarAway_refusesNothing)
+// Guards against mistaking the distance to an endpoint for a queue.
+TEST_F(LinkShedderTest, isShedding_distantEndpoints_refusesNothing)
 {
     connect(20, 3 * kMillisecond);
     connect(200, 90 * kMillisecond, "far");
@@ -61,8 +61,9 @@
     EXPECT_FALSE(shedder.isShedding(now));
 }
 
-// Guards against an instance that refuses for ever, since it makes no connections by which it could learn better.
-TEST_F(LinkShedderTest, nothingMeasuredAnyMore_takesRequestsAgain)
+// Guards against an instance that refuses for ever because, with all requests refused, it makes no connections that
+// could show that the link is free.
+TEST_F(LinkShedderTest, isShedding_noNewMeasurements_acceptsRequestsAgain)
 {
     connect(20, 3 * kMillisecond);
     connect(40, 150 * kMillisecond);
@@ -72,9 +73,9 @@
     EXPECT_FALSE(shedder.isShedding(now));
 }
 
-// The load that it is for: 300 requests a second of 6 kB each, to which an instance has 1.25 MB/s both ways. Whoever
-// gets through has a connection in time.
-TEST_F(LinkShedderTest, callerWithMoreBytesThanTheLinkTakes_mostOfThoseTakenAreInTime)
+// Guards against an instance that accepts more than its link can carry: 300 requests per second of 6 kB each meet a
+// link of 1.25 MB/s in each direction. Most of the accepted requests must get a connection in time.
+TEST_F(LinkShedderTest, isShedding_moreBytesThanTheLinkCarries_mostAcceptedAreInTime)
 {
     constexpr double kBytesPerSecond = 1'250'000;
     constexpr double kBytesPerRequest = 6'000;
--- a/tests/core/limits/loadshedder_test.cpp
+++ b/tests/core/limits/loadshedder_test.cpp
@@ -21,7 +21,7 @@
         shedder.noteDelay(delay * kMillisecond, now);
     }
 
-    void pass(int milliseconds)
+    void advance(int milliseconds)
     {
         now += milliseconds * kMillisecond;
     }
@@ -30,26 +30,26 @@
     Instant now{std::chrono::seconds(100)};
 };
 
-TEST_F(LoadShedderTest, oneLateMeasurement_takesEveryRequestAllTheSame)
+TEST_F(LoadShedderTest, isShedding_singleLateMeasurement_acceptsRequests)
 {
-    // A process that was frozen for two seconds runs everything late once. What waits is served at once then; to refuse
-    // it would turn callers away from an instance that has time.
+    // A process that was stopped for two seconds runs everything late once, and then serves at once what waited
+    // meanwhile. Refusing requests would turn callers away from an instance that has time.
     note(2000);
     EXPECT_FALSE(shedder.isShedding(now));
-    pass(5);
+    advance(5);
     note(3);
-    pass(300);
+    advance(300);
     note(90);
 
     EXPECT_FALSE(shedder.isShedding(now));
 }
 
-TEST_F(LoadShedderTest, lateForLong_refusesUntilCalmAndNoLonger)
+TEST_F(LoadShedderTest, isShedding_lateForLong_refusesUntilRecovered)
 {
     note(70);
-    pass(70);
+    advance(70);
     note(70);
-    pass(70);
+    advance(70);
     note(70);
     EXPECT_TRUE(shedder.isShedding(now));
 
@@ -59,37 +59,37 @@
     EXPECT_FALSE(shedder.isShedding(now));
 }
 
-TEST_F(LoadShedderTest, measurementThatIsOld_refusesNothing)
+TEST_F(LoadShedderTest, isShedding_oldMeasurement_acceptsRequests)
 {
     note(100);
-    pass(200);
+    advance(200);
     note(100);
     ASSERT_TRUE(shedder.isShedding(now));
 
-    pass(500);
+    advance(500);
 
     EXPECT_FALSE(shedder.isShedding(now));
 }
 
-TEST_F(LoadShedderTest, overloadThatLasts_sendsCallersElsewhereUntilItIsOver)
+TEST_F(LoadShedderTest, isDiverting_lastingOverload_divertsCallersUntilOver)
 {
     for (int n = 0; n < 4; ++n) {
         shedder.noteRefused(now);
         EXPECT_FALSE(shedder.isDiverting(now));
-        pass(150);
+        advance(150);
     }
     shedder.noteRefused(now);
     EXPECT_TRUE(shedder.isDiverting(now));
-    pass(2900);
+    advance(2900);
     EXPECT_TRUE(shedder.isDiverting(now));
-    pass(200);
+    advance(200);
     EXPECT_FALSE(shedder.isDiverting(now));
-    // A single refusal later is a new overload, which may pass by itself.
+    // A single refusal later starts a new overload, which may pass by itself.
     shedder.noteRefused(now);
     EXPECT_FALSE(shedder.isDiverting(now));
 }
 
-/// One processor that serves a line of requests, each for `kServed`, or refuses it in `kRefused`.
+/// One processor that works off a queue of requests. Serving a request takes `kServed`, refusing it `kRefused`.
 class SmallInstance
 {
 public:
@@ -100,21 +100,21 @@
 
     void offer(Instant at)
     {
-        m_line.push_back(at);
+        m_queue.push_back(at);
     }
 
     /// Works until `end`.
     void work(Instant end)
     {
-        while (!m_line.empty() && m_now < end) {
-            // The task that measures goes to the end of the line that stands there now.
-            const std::size_t pass = m_line.size();
-            const Instant began = m_now;
-            for (std::size_t n = 0; n < pass; ++n) {
-                m_shedder.noteOverdue(m_now - began, m_now);
+        while (!m_queue.empty() && m_now < end) {
+            // The measuring task is queued behind the requests that wait now.
+            const std::size_t waitingCount = m_queue.size();
+            const Instant passBegan = m_now;
+            for (std::size_t n = 0; n < waitingCount; ++n) {
+                m_shedder.noteOverdue(m_now - passBegan, m_now);
                 serveFirst();
             }
-            m_shedder.noteDelay(m_now - began, m_now);
+            m_shedder.noteDelay(m_now - passBegan, m_now);
         }
         m_now = std::max(m_now, end);
     }
@@ -126,33 +126,33 @@
 private:
     static constexpr Duration kServed = std::chrono::microseconds(9500);
     static constexpr Duration kRefused = std::chrono::microseconds(900);
-    static constexpr Duration kPatience = std::chrono::milliseconds(300);
+    static constexpr Duration kTimeout = std::chrono::milliseconds(300);
 
     void serveFirst()
     {
-        const Instant came = m_line.front();
-        m_line.pop_front();
+        const Instant arrived = m_queue.front();
+        m_queue.pop_front();
         const bool isRefused = m_isShedding && m_shedder.isShedding(m_now);
         if (isRefused) {
             m_shedder.noteRefused(m_now);
         }
         m_now += isRefused ? kRefused : kServed;
-        int &count = m_now - came > kPatience ? late : isRefused ? refusedInTime : inTime;
+        int &count = m_now - arrived > kTimeout ? late : isRefused ? refusedInTime : inTime;
         ++count;
     }
 
     const bool m_isShedding;
     LoadShedder m_shedder;
-    std::deque<Instant> m_line;
+    std::deque<Instant> m_queue;
     Instant m_now{};
 };
 
-TEST_F(LoadShedderTest, callerWithFourTimesWhatTheInstanceCanDo_meetsItsAnswerOrItsRefusalInTime)
+TEST_F(LoadShedderTest, isShedding_fourTimesTheCapacity_answersOrRefusesInTime)
 {
-    // One caller sends 400 calls a second for six seconds to an instance that has time for 105. In line, all calls but
-    // the first thirty or so are later than the 300 ms after which they are worth little; callers of others meet the
-    // same line. With refusals at a tenth of the cost the line stays short: some are served, and the rest go elsewhere
-    // while there is time.
+    // Guards against requests that all wait too long. One caller sends 400 calls per second for six seconds to an
+    // instance that can serve 105. Queued, all calls but the first thirty or so miss the 300 ms after which they are
+    // worth little, and other callers wait in the same queue. A refusal costs a tenth of an answer, so refusals keep
+    // the queue short: some calls are served, and the others can go elsewhere while there is time.
     const auto play = [](SmallInstance &instance) {
         constexpr int kCalls = 2400;
         constexpr Duration kGap = std::chrono::microseconds(2500);
@@ -164,12 +164,12 @@
         }
         instance.work(at + std::chrono::seconds(60));
     };
-    SmallInstance inLine(false);
+    SmallInstance queued(false);
     SmallInstance shedding(true);
-    play(inLine);
+    play(queued);
     play(shedding);
 
-    EXPECT_LT(inLine.inTime, 50);
+    EXPECT_LT(queued.inTime, 50);
     EXPECT_GT(shedding.inTime, 100);
     EXPECT_LT(shedding.late, 24);
 }
--- a/tests/core/limits/overload_test.cpp
+++ b/tests/core/limits/overload_test.cpp
@@ -13,7 +13,7 @@
 using namespace RadishSwitch;
 using namespace std::chrono_literals;
 
-/// Three entries with their queues before one pool, offered more than it can serve.
+/// Three entries with their queues in front of one pool, which get more requests than the pool can serve.
 class OverloadTest : public testing::Test
 {
 protected:
@@ -21,8 +21,8 @@
         std::string name;
         double share = 1;
         int priority = 0;
-        /// Its part of the offered load.
-        double part = 1;
+        /// Its share of the offered load.
+        double loadShare = 1;
     };
 
     struct Outcome {
@@ -30,15 +30,15 @@
         std::map<std::string, double> tokens;
         Duration urgentFirstTokenP95{};
         int served = 0;
-        /// Refused after more than half of their patience.
+        /// Refused after more than half of the time until the deadline.
         int refusedLate = 0;
     };
 
-    Outcome run(double utilisation, bool isGated = true)
+    Outcome run(double utilisation, bool usesQueue = true)
     {
         m_outcome = {};
-        m_urgent.clear();
-        m_isGated = isGated;
+        m_urgentFirstTokens.clear();
+        m_usesQueue = usesQueue;
         m_entries.clear();
         m_engines.clear();
         m_random = SeededRandom(11);
@@ -65,8 +65,8 @@
         m_timers.advance(600s);
         m_timers.cancel(reports);
         m_timers.cancel(ticks);
-        std::ranges::sort(m_urgent);
-        m_outcome.urgentFirstTokenP95 = m_urgent[m_urgent.size() * 95 / 100];
+        std::ranges::sort(m_urgentFirstTokens);
+        m_outcome.urgentFirstTokenP95 = m_urgentFirstTokens[m_urgentFirstTokens.size() * 95 / 100];
         return m_outcome;
     }
 
@@ -83,7 +83,7 @@
     static constexpr int kEntries = 3;
     static constexpr double kMeanTokens = 100;
     static constexpr Duration kSpan = 120s;
-    static constexpr Duration kPatience = 4s;
+    static constexpr Duration kTimeToDeadline = 4s;
 
     struct Entry {
         explicit Entry(std::uint64_t seed)
@@ -125,8 +125,8 @@
         }
         double drawn = m_random.fraction();
         const Customer *customer = m_customers.data();
-        while (drawn >= customer->part) {
-            drawn -= customer->part;
+        while (drawn >= customer->loadShare) {
+            drawn -= customer->loadShare;
             ++customer;
         }
         arrive(*m_entries[m_random.below(m_entries.size())], *customer);
@@ -141,9 +141,9 @@
         const RequestId id("request-" + std::to_string(++m_count));
         const auto tokens = static_cast<std::int64_t>(kMeanTokens / 2 + static_cast<double>(m_random.below(100)));
         m_waiting[id] = {&customer, m_timers.now()};
-        const QueuedRequest request{id,     OrganisationId(customer.name), customer.priority, customer.share,
-                                    tokens, m_timers.now() + kPatience};
-        if (!m_isGated) {
+        const QueuedRequest request{id,     OrganisationId(customer.name),   customer.priority, customer.share,
+                                    tokens, m_timers.now() + kTimeToDeadline};
+        if (!m_usesQueue) {
             return dispatch(entry, request);
         }
         entry.queue.enqueue(request, m_timers.now()).IgnoreError();
@@ -154,7 +154,7 @@
     {
         for (const QueueRefusal &refusal : entry.queue.expire(m_timers.now())) {
             const Duration held = m_timers.now() - m_waiting.at(refusal.request).arrived;
-            m_outcome.refusedLate += held > kPatience / 2 ? 1 : 0;
+            m_outcome.refusedLate += held > kTimeToDeadline / 2 ? 1 : 0;
         }
         while (const auto request = entry.queue.next(m_timers.now(), entry.router.room(m_pool))) {
             dispatch(entry, *request);
@@ -175,7 +175,7 @@
         run.firstToken = [this, &entry, endpoint, waiting] {
             entry.router.noteFirstToken(endpoint, {}, m_timers.now());
             if (waiting.customer->priority > 0) {
-                m_urgent.push_back(m_timers.now() - waiting.arrived);
+                m_urgentFirstTokens.push_back(m_timers.now() - waiting.arrived);
             }
         };
         run.done = [this, &entry, endpoint, waiting, request] {
@@ -183,7 +183,7 @@
             const double tokens = static_cast<double>(request.cost);
             const Duration run =
                 Duration(static_cast<Duration::rep>(tokens / FakeEngine::kTokensPerSecondOfSlot * 1e6));
-            if (m_timers.now() < m_end && m_timers.now() <= waiting.arrived + kPatience + run) {
+            if (m_timers.now() < m_end && m_timers.now() <= waiting.arrived + kTimeToDeadline + run) {
                 ++m_outcome.served;
                 m_outcome.goodput += tokens;
                 m_outcome.tokens[waiting.customer->name] += tokens;
@@ -199,18 +199,18 @@
     std::vector<std::unique_ptr<FakeEngine>> m_engines;
     std::vector<std::unique_ptr<Entry>> m_entries;
     std::map<RequestId, Waiting> m_waiting;
-    std::vector<Duration> m_urgent;
+    std::vector<Duration> m_urgentFirstTokens;
     Outcome m_outcome;
     Instant m_end{};
     double m_gapSeconds = 1;
     std::uint64_t m_sequence = 0;
     int m_count = 0;
-    bool m_isGated = true;
+    bool m_usesQueue = true;
 };
 
-// The offered load goes up to three times what the pool serves. Sent on regardless, it waits in the engines until
-// nobody wants it any more: work is done for callers who have left, and the useful part falls towards nothing.
-TEST_F(OverloadTest, goodput_threeTimesTheCapacity_staysNearItsBest)
+// Guards against work for callers that have disconnected. Up to three times what the pool can serve is offered. If all
+// of it were sent on, it would wait in the engines until its callers had left, and hardly any answer would be of use.
+TEST_F(OverloadTest, goodput_threeTimesTheCapacity_staysNearBest)
 {
     const double best = std::max(run(1).goodput, run(2).goodput);
 
@@ -218,8 +218,9 @@
     EXPECT_LT(run(3, false).goodput, 0.5 * best);
 }
 
-// A caller that is refused wants to know at once. One that was let in and must be given up after all, because others
-// came who go first, still has half of its patience to try elsewhere, but for a few.
+// Guards against refusals that come too late for the caller to try elsewhere. A request that was admitted may still be
+// refused when more important requests arrive, but with few exceptions that must happen within half of the time until
+// its deadline.
 TEST_F(OverloadTest, refusals_threeTimesTheCapacity_fewComeLate)
 {
     const Outcome outcome = run(3);
@@ -227,7 +228,7 @@
     EXPECT_LE(outcome.refusedLate, outcome.served / 100);
 }
 
-TEST_F(OverloadTest, shares_greedyOrganisationAtThreeTimesTheCapacity_areMetWithinATenth)
+TEST_F(OverloadTest, shares_greedyOrganisationAtThreeTimesTheCapacity_areKeptWithinATenth)
 {
     const Outcome outcome = run(3);
     double total = 0;
@@ -240,8 +241,9 @@
     EXPECT_NEAR(outcome.tokens.at("greedy") / total, 1.0 / 6, 1.0 / 60);
 }
 
-// All slots are taken and a request of a high priority comes to one of three entries. It must not wait in an engine
-// behind the work of the other entries, nor until a slot of its own entry that low priorities would snatch is free.
+// Guards against a request of a high priority that waits too long. All slots are taken when it arrives at one of three
+// entries. It must not wait in an engine behind the work of the other entries, nor in its entry because low priorities
+// take each slot that becomes free.
 TEST_F(OverloadTest, highPriority_threeTimesTheCapacity_waitsLittle)
 {
     EXPECT_LE(run(3).urgentFirstTokenP95, 400ms);
--- a/tests/core/limits/refusalpause_test.cpp
+++ b/tests/core/limits/refusalpause_test.cpp
@@ -15,7 +15,7 @@
     RefusalPause pause;
 };
 
-TEST_F(RefusalPauseTest, refusalsOneAfterTheOther_doubleItUpToASecond)
+TEST_F(RefusalPauseTest, noteRefused_repeatedRefusals_doublePauseUpToASecond)
 {
     int now = 0;
     for (const int span : {25, 50, 100, 200, 400, 800, 1000, 1000}) {
@@ -29,8 +29,8 @@
     EXPECT_FALSE(pause.isActive(at(now + 25)));
 }
 
-// Guards against a burst of refusals that counts as many in a row.
-TEST_F(RefusalPauseTest, callsRefusedTogether_countOnce)
+// Guards against counting calls that were refused together as many refusals in a row.
+TEST_F(RefusalPauseTest, noteRefused_callsRefusedTogether_countOnce)
 {
     pause.noteRefused({}, at(0));
     pause.noteRefused({}, at(1));
@@ -38,8 +38,8 @@
     EXPECT_FALSE(pause.isActive(at(25)));
 }
 
-// Guards against long answers that go on and make an endpoint look as if it took new calls.
-TEST_F(RefusalPauseTest, callSentBeforeTheRefusal_doesNotEndIt)
+// Guards against long answers that go on after a refusal and make the endpoint look as if it accepted new calls.
+TEST_F(RefusalPauseTest, noteAccepted_callSentBeforeTheRefusal_keepsPause)
 {
     pause.noteRefused({}, at(100));
     pause.noteAccepted(at(50));
--- a/tests/core/limits/retrybudget_test.cpp
+++ b/tests/core/limits/retrybudget_test.cpp
@@ -35,8 +35,9 @@
     EXPECT_LE(*second, 100ms);
 }
 
-// A blind order was sent and the connection broke. Whether it ran is not known; sent again, it may cut two sets of
-// blinds. The caller is told that the outcome is unknown.
+// Guards against running an order twice. An order for blinds was sent and the connection broke, so it is not known
+// whether it ran. If it were sent again, two sets of blinds might be cut. The caller is told that the outcome is
+// unknown.
 TEST_F(RetryBudgetTest, retry_nonIdempotentThatMayHaveStarted_isRefusedAsUnknown)
 {
     RetryQuery order = m_query;
@@ -64,7 +65,7 @@
     EXPECT_EQ(refusal(late), FailureCode::DeadlineExceeded);
 }
 
-TEST_F(RetryBudgetTest, retry_oftenTried_isRefused)
+TEST_F(RetryBudgetTest, retry_allAttemptsUsed_isRefused)
 {
     RetryQuery often = m_query;
     often.attempts = 3;
@@ -72,8 +73,8 @@
     EXPECT_EQ(refusal(often), FailureCode::EndpointFailed);
 }
 
-// Every endpoint fails. Were each request tried three times, what is left of the pool would get three times the load,
-// and would fail for that reason alone.
+// Guards against retries that overload what is left of a pool: if every endpoint failed and each request were tried
+// three times, the pool would get three times the load and fail because of that alone.
 TEST_F(RetryBudgetTest, retry_everythingFails_retriesStayATenthOfFirstAttempts)
 {
     int granted = 0;
@@ -86,9 +87,9 @@
     EXPECT_EQ(refusal(m_query), FailureCode::Overloaded);
 }
 
-// An endpoint that is waited for speaks again before the retry is made. Were the retry lost, a fleet whose endpoints
-// are slow for a while would have none left for those that fail.
-TEST_F(RetryBudgetTest, retryGivenBack_canBeTakenAgain)
+// Guards against losing granted retries. An endpoint that was waited for may answer before the retry is made. If the
+// retry were not returned, a fleet whose endpoints are slow for a while would have no retries left for real failures.
+TEST_F(RetryBudgetTest, giveBack_grantedRetry_isGrantedAgain)
 {
     while (m_budget.retry(m_query, m_now).ok()) { }
     EXPECT_EQ(refusal(m_query), FailureCode::Overloaded);
--- a/tests/core/serving/coalescingstore_test.cpp
+++ b/tests/core/serving/coalescingstore_test.cpp
@@ -29,10 +29,11 @@
     std::vector<absl::StatusOr<StoreChanges>> answers;
 };
 
-TEST_F(CoalescingStoreTest, sameWatchOfThirtyGateways_costsOneCallAndAnswersAll)
+TEST_F(CoalescingStoreTest, watch_sameFromThirtyGateways_sendsOneCallAndAnswersAll)
 {
-    // Thirty gateways that are cut off from the store watch it through one home. The store charges for each call and
-    // turns down those beyond its rate; all thirty want the same news.
+    // Guards against a home that sends the same watch many times. Thirty gateways that are cut off from the store watch
+    // it through one home. The store charges for each call and refuses calls above its rate, and all thirty gateways
+    // want the same changes.
     constexpr std::size_t kGateways = 30;
     write("config/main", 0);
     for (std::size_t n = 0; n < kGateways; ++n) {
@@ -49,7 +50,7 @@
     }
 }
 
-TEST_F(CoalescingStoreTest, questionsThatDiffer_areAskedEach)
+TEST_F(CoalescingStoreTest, listAndWatch_differentCalls_areEachSent)
 {
     store.list("config/", record());
     store.list("servers/", record());
@@ -58,7 +59,7 @@
     EXPECT_EQ(platform.calls(), 3);
 }
 
-TEST_F(CoalescingStoreTest, questionAfterTheAnswer_isAskedAnew)
+TEST_F(CoalescingStoreTest, list_afterAnswer_isSentAgain)
 {
     store.list("config/", record());
     tasks.runAll();
@@ -69,7 +70,7 @@
     EXPECT_EQ(answers.size(), 2u);
 }
 
-TEST_F(CoalescingStoreTest, failure_isToldToAllThatWait)
+TEST_F(CoalescingStoreTest, list_storeUnavailable_failsForAllWaiters)
 {
     platform.setAway(true);
     store.list("config/", record());
--- a/tests/core/serving/eventsplitter_test.cpp
+++ b/tests/core/serving/eventsplitter_test.cpp
@@ -13,26 +13,26 @@
     }
 };
 
-TEST_F(EventSplitterTest, bytesInAnyPieces_giveWholeEventsOnly)
+TEST_F(EventSplitterTest, take_bytesInAnyPieces_returnsWholeEventsOnly)
 {
     const std::string text = event(1) + event(2) + event(3);
     for (std::size_t size = 1; size < text.size(); ++size) {
         EventSplitter splitter;
-        std::string given;
+        std::string returned;
         for (std::size_t n = 0; n < text.size(); n += size) {
             const std::string piece = splitter.take(text.substr(n, size));
-            given += piece;
+            returned += piece;
             EXPECT_TRUE(piece.empty() || piece.ends_with("\n\n"));
         }
-        EXPECT_EQ(given, text);
+        EXPECT_EQ(returned, text);
         EXPECT_EQ(splitter.count(), 3);
         EXPECT_TRUE(splitter.isBetweenEvents());
     }
 }
 
-// An endpoint breaks off inside the third event, and another begins again behind the first. The caller has two events
-// and must see the third next, once.
-TEST_F(EventSplitterTest, streamResumedTooEarly_repeatsNothing)
+// Guards against repeated events. An endpoint breaks off inside the third event, and another continues after the first.
+// The caller has two events and must get the third next, once.
+TEST_F(EventSplitterTest, take_streamResumedTooEarly_repeatsNoEvent)
 {
     EventSplitter splitter;
     EXPECT_EQ(splitter.take(event(1) + event(2) + "id: 3\nda"), event(1) + event(2));
@@ -42,7 +42,7 @@
     EXPECT_EQ(splitter.lastEvent(), 3U);
 }
 
-TEST_F(EventSplitterTest, streamResumedTooLate_isAGapAndGivesNothingBehindIt)
+TEST_F(EventSplitterTest, take_streamResumedTooLate_hasGapAndReturnsNothingAfterIt)
 {
     EventSplitter splitter;
     splitter.take(event(1));
@@ -52,7 +52,7 @@
     EXPECT_EQ(splitter.lastEvent(), 1U);
 }
 
-TEST_F(EventSplitterTest, callersOwnLastEvent_isWhereTheStreamGoesOn)
+TEST_F(EventSplitterTest, take_callerHasLastEvent_continuesAfterIt)
 {
     EventSplitter splitter(12);
     EXPECT_EQ(splitter.take(event(13)), event(13));
--- a/tests/core/serving/homedirectory_test.cpp
+++ b/tests/core/serving/homedirectory_test.cpp
@@ -26,7 +26,7 @@
         {"a", {"10.0.0.1:1", 1}}, {"b", {"10.0.0.2:1", 1}}, {"c", {"10.0.0.3:1", 2}}};
 };
 
-TEST_F(HomeDirectoryTest, gatewaysThatKnowTheSame_agreeOnEachHome)
+TEST_F(HomeDirectoryTest, candidates_samePeersAtTwoGateways_agreeOnHome)
 {
     HomeDirectory a("a");
     HomeDirectory b("b");
@@ -37,7 +37,7 @@
     }
 }
 
-TEST_F(HomeDirectoryTest, heavierGateway_hasMoreHomes)
+TEST_F(HomeDirectoryTest, candidates_gatewayOfGreaterWeight_isHomeOfMoreKeys)
 {
     HomeDirectory a("a");
     a.setPeers(peers);
@@ -49,9 +49,9 @@
     EXPECT_NEAR(homes["a"], 500, 100);
 }
 
-// A home dies. Its keys go to the others for as long as it can't be reached, and back to it afterwards; nobody else's
-// move.
-TEST_F(HomeDirectoryTest, unreachableHome_isPassedOverAndComesBack)
+// Guards against keys that stay at a dead home, and against moving the keys of others. While a home can't be reached,
+// only its keys go to other processes; afterwards they return to it.
+TEST_F(HomeDirectoryTest, candidates_homeUnreachableForAWhile_isSkippedThenUsedAgain)
 {
     HomeDirectory a("a");
     a.setPeers(peers);
@@ -71,7 +71,7 @@
     }
 }
 
-TEST_F(HomeDirectoryTest, everyOtherGone_leavesTheGatewayToItself)
+TEST_F(HomeDirectoryTest, candidates_allPeersUnreachable_areOnlyTheGatewayItself)
 {
     HomeDirectory a("a");
     a.setPeers(peers);
@@ -80,15 +80,15 @@
     EXPECT_EQ(a.candidates(key(1), at(1)), std::vector<std::string>{"a"});
 }
 
-TEST_F(HomeDirectoryTest, peerThatKeepsFailing_noLongerCountsAsHome)
+TEST_F(HomeDirectoryTest, usualHome_peerFailedManyTimes_isAnotherProcess)
 {
     HomeDirectory a("a");
     a.setPeers({{"a", {"10.0.0.1:1", 1}}, {"b", {"10.0.0.2:1", 1}}});
-    int mine = 0;
+    int ownKeys = 0;
     for (int n = 0; n < 50; ++n) {
-        mine += a.usualHome(key(n)) == "a" ? 1 : 0;
+        ownKeys += a.usualHome(key(n)) == "a" ? 1 : 0;
     }
-    EXPECT_LT(mine, 50);
+    EXPECT_LT(ownKeys, 50);
     for (int n = 0; n < 5; ++n) {
         a.noteUnreachable("b", at(10'000 * n));
     }
@@ -97,9 +97,9 @@
     }
 }
 
-// A gateway is told to stop. It is nobody's home any more, also in its own eyes, but its own calls are not stranded
-// when no other is left.
-TEST_F(HomeDirectoryTest, leavingGateway_isNoHomeWhileThereAreOthers)
+// Guards against a stopping gateway that is still the home of keys. It must not even regard itself as one, but must
+// still serve its own calls when no other process is left.
+TEST_F(HomeDirectoryTest, leave_otherProcessesLeft_gatewayIsNoHome)
 {
     HomeDirectory a("a");
     a.setPeers(peers);
@@ -113,9 +113,9 @@
     EXPECT_EQ(a.candidates(key(0), at(0)), std::vector<std::string>{"a"});
 }
 
-// A gateway was cut off and took all others for gone. Once it reaches the store again it asks their homes at once, and
-// does not take portions of all budgets itself.
-TEST_F(HomeDirectoryTest, forgottenFailures_makeTheOldHomesAskedAgain)
+// Guards against a gateway that goes on treating all others as gone after it was cut off from the network. When it
+// reaches the store again, it must ask the usual homes at once, instead of taking portions of all budgets itself.
+TEST_F(HomeDirectoryTest, forgetFailures_allPeersFailed_restoresUsualHomes)
 {
     HomeDirectory a("a");
     a.setPeers(peers);
@@ -129,9 +129,9 @@
     EXPECT_EQ(a.candidates(key(1), at(70'000)), before);
 }
 
-// Gateways go down in herds and are cut off together; homes beside endpoints are not. So a home is asked first,
-// whatever the weights, then another home, and gateways only when neither can be reached.
-TEST_F(HomeDirectoryTest, homesBesideEndpoints_goBeforeGateways)
+// Guards against homes on gateways, which are restarted and cut off many at a time, while processes of the kind Home
+// are not. Whatever the weights, candidates are two of these first, and gateways only if no Home can be reached.
+TEST_F(HomeDirectoryTest, candidates_homesAndGateways_homesComeFirst)
 {
     HomeDirectory a("a");
     a.setPeers({{"a", {"10.0.0.1:1", 9}},
@@ -152,18 +152,20 @@
     EXPECT_EQ(a.candidates(key(1), at(1)).size(), 2U);
 }
 
-// A home has no configuration and follows nothing: a gateway that waited for its news would learn of none.
-TEST_F(HomeDirectoryTest, home_isNeverTheWatcher)
+// Guards against a gateway that watches through a Home: a Home has no configuration and follows no objects, so the
+// gateway would receive no changes.
+TEST_F(HomeDirectoryTest, watcher_zoneWithHome_isAGateway)
 {
     HomeDirectory a("a");
     a.setPeers({{"a", {"10.0.0.1:1", 1, "z"}}, {"h1", {"10.0.1.1:1", 1000, "z", PeerKind::Home}}});
     EXPECT_EQ(a.watcher(at(0)), "a");
 }
 
-TEST_F(HomeDirectoryTest, zoneOfWeakGatewaysAndFewStrongOnes_aStrongOneWatchesForIt)
+TEST_F(HomeDirectoryTest, watcher_fewStrongGatewaysInZone_isOneOfThem)
 {
-    // A narrow gateway that watches for twenty others needs two seconds to send them one large configuration. Changes
-    // that come faster are in force late in all of its zone: callers meet routes and keys of four seconds ago.
+    // Guards against a watcher with a slow link. A small gateway that watches for twenty others needs two seconds to
+    // send them one large configuration. When the configuration changes faster, it takes effect late in the whole zone:
+    // calls are matched against routes and keys that are four seconds old.
     std::map<std::string, FleetPeer> zone;
     for (int n = 0; n < 20; ++n) {
         zone["weak-" + std::to_string(n)] = {"10.0.0.1:1", 0.09, "a"};
@@ -187,8 +189,8 @@
     EXPECT_TRUE(weak.watcher(at(1)).starts_with("weak"));
 }
 
-// Guards against a process that takes itself for its zone's watcher until it is listed.
-TEST_F(HomeDirectoryTest, ownEntryNotListedYet_itsZoneIsKnownAllTheSame)
+// Guards against a process that becomes its own zone's watcher because the list of processes does not contain it yet.
+TEST_F(HomeDirectoryTest, watcher_ownProcessNotListedYet_isOfItsZone)
 {
     HomeDirectory self("self");
     self.setOwnPeer({"10.0.0.9:1", 0.1, "east"});
@@ -196,8 +198,9 @@
     EXPECT_EQ(self.watcher(at(0)), "strong");
 }
 
-// Guards against an order that is kept for a few and asked for more: with all of these unreachable others are named.
-TEST_F(HomeDirectoryTest, manyUnreachable_thoseBehindThemAreNamed)
+// Guards against too few candidates when all the processes of a truncated ranking are unreachable: processes ranked
+// behind them must be named.
+TEST_F(HomeDirectoryTest, candidates_manyUnreachable_namesLowerRankedPeers)
 {
     std::map<std::string, FleetPeer> many;
     for (int n = 0; n < 100; ++n) {
--- a/tests/core/serving/objectfollower_test.cpp
+++ b/tests/core/serving/objectfollower_test.cpp
@@ -12,7 +12,7 @@
 class ObjectFollowerTest : public testing::Test, protected ObjectListener
 {
 protected:
-    /// A store whose watches fail in a set way, once.
+    /// A store whose next watch fails once, with a set status.
     class Store : public MemoryObjectStore
     {
     public:
@@ -21,10 +21,10 @@
         void watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback) override
         {
             ++watches;
-            if (failNextWatch.ok()) {
+            if (nextWatchStatus.ok()) {
                 return MemoryObjectStore::watch(prefix, fromVersion, std::move(callback));
             }
-            callback(std::exchange(failNextWatch, absl::OkStatus()));
+            callback(std::exchange(nextWatchStatus, absl::OkStatus()));
         }
 
         void list(const std::string &prefix, Callback<StoreChanges> callback) override
@@ -33,7 +33,7 @@
             MemoryObjectStore::list(prefix, std::move(callback));
         }
 
-        absl::Status failNextWatch;
+        absl::Status nextWatchStatus;
         int watches = 0;
         int lists = 0;
     };
@@ -79,7 +79,7 @@
     std::map<std::string, std::string> values;
 };
 
-TEST_F(ObjectFollowerTest, change_isHeardThroughTheWatch)
+TEST_F(ObjectFollowerTest, watch_objectChanged_notifiesListener)
 {
     put("one");
     follower.start();
@@ -90,37 +90,37 @@
     EXPECT_EQ(store.lists, 1);
 }
 
-// A watch gets no answer in its time: the store may have forgotten it, with a change that a further watch would not
-// tell.
-TEST_F(ObjectFollowerTest, silentWatch_isFollowedByAList)
+// Guards against missing a change: the store may have dropped a watch that it did not answer in time, with a change
+// that another watch would not bring.
+TEST_F(ObjectFollowerTest, watch_timedOut_isFollowedByAList)
 {
     put("one");
-    store.failNextWatch = makeFailure(FailureCode::StoreTimeout, "silent");
+    store.nextWatchStatus = makeFailure(FailureCode::StoreTimeout, "silent");
     follower.start();
     run(std::chrono::milliseconds(200));
     EXPECT_EQ(store.lists, 2);
     EXPECT_EQ(values["config/main"], "one");
 }
 
-TEST_F(ObjectFollowerTest, forgottenHistory_isFollowedByAListAtOnce)
+TEST_F(ObjectFollowerTest, watch_historyGone_isFollowedByAListAtOnce)
 {
     put("one");
-    store.failNextWatch = makeFailure(FailureCode::HistoryGone, "gone");
+    store.nextWatchStatus = makeFailure(FailureCode::HistoryGone, "gone");
     follower.start();
     run();
     EXPECT_EQ(store.lists, 2);
 }
 
-// The store is away for ten seconds. It is asked now and then, and a change made at its return is known within a
-// second.
-TEST_F(ObjectFollowerTest, storeAway_isAskedSeldomAndHeardSoonAfterItsReturn)
+// Guards against many calls to a store that is unavailable for ten seconds, and against a change made at its return
+// that is not known within a second.
+TEST_F(ObjectFollowerTest, watch_storeUnavailable_retriesSeldomAndCatchesUpSoon)
 {
     put("one");
-    std::vector<bool> contacts;
-    follower.setReachabilityCallback([&contacts](bool isStoreReachable) {
-        contacts.push_back(isStoreReachable);
+    std::vector<bool> reachability;
+    follower.setReachabilityCallback([&reachability](bool isStoreReachable) {
+        reachability.push_back(isStoreReachable);
     });
-    store.failNextWatch = makeFailure(FailureCode::StoreUnavailable, "away");
+    store.nextWatchStatus = makeFailure(FailureCode::StoreUnavailable, "away");
     follower.start();
     store.setAway(true);
     for (int n = 0; n < 200; ++n) {
@@ -131,5 +131,5 @@
     put("two");
     run(std::chrono::milliseconds(1000));
     EXPECT_EQ(values["config/main"], "two");
-    EXPECT_EQ(contacts, (std::vector<bool>{false, true}));
+    EXPECT_EQ(reachability, (std::vector<bool>{false, true}));
 }
--- a/tests/core/serving/probedstore_test.cpp
+++ b/tests/core/serving/probedstore_test.cpp
@@ -13,7 +13,7 @@
 class ProbedStoreTest : public testing::Test
 {
 protected:
-    /// What each of a process's followers does: asks, and asks again half a second after a failure.
+    /// Lists like one of a process's followers, again half a second after each failure.
     void follow(const std::string &prefix)
     {
         probed.list(prefix, [this, prefix](const absl::StatusOr<StoreChanges> &changes) {
@@ -46,8 +46,8 @@
     int answered = 0;
 };
 
-// Guards against calls to the store that grow with the followers of each process that is cut off from it.
-TEST_F(ProbedStoreTest, storeAwayForNineSeconds_isAskedByOneForAll)
+// Guards against calls to the store that grow with the number of followers in a process that is cut off from it.
+TEST_F(ProbedStoreTest, list_storeUnreachableForNineSeconds_probesOnceForAll)
 {
     link.setCut(true);
     for (int n = 0; n < 4; ++n) {
@@ -58,8 +58,8 @@
     EXPECT_LE(link.calls(), 16);
 }
 
-// Guards against news that wait for a long pause once the store answers again.
-TEST_F(ProbedStoreTest, storeBack_allAreAnsweredSoon)
+// Guards against changes that are delayed by a long pause after the store answers again.
+TEST_F(ProbedStoreTest, list_storeReachableAgain_answersAllSoon)
 {
     link.setCut(true);
     for (int n = 0; n < 4; ++n) {
--- a/tests/core/serving/relayedstore_test.cpp
+++ b/tests/core/serving/relayedstore_test.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// Writes down who was asked, and never answers.
+/// Records the peer that was asked, and never answers.
 class SilentWatchPeers : public WatchPeerPort
 {
 public:
@@ -33,7 +33,7 @@
 class RelayedStoreTest : public testing::Test
 {
 protected:
-    /// Whom a gateway asks when it watches; empty for the store itself.
+    /// The peer that a gateway asks when it watches; empty if it asks the store itself.
     std::string askedBy(const std::string &name)
     {
         HomeDirectory homes(name);
@@ -46,7 +46,7 @@
         return port.asked;
     }
 
-    void expectEachReachesAWatcher()
+    void expectEachReachesAStoreWatcher()
     {
         std::set<std::string> watchers;
         for (const auto &[name, peer] : peers) {
@@ -68,9 +68,10 @@
     std::map<std::string, FleetPeer> peers;
 };
 
-// Each zone has a gateway that watches the store for it. Where that one lay in another zone, it had a watcher of its
-// own, and two could wait for each other: no gateway heard of a leaving endpoint until their questions had timed out.
-TEST_F(RelayedStoreTest, gatewaysOfSeveralZones_allHangOnOneThatWatchesTheStore)
+// Guards against gateways that wait for each other. Each zone has a gateway that watches the store. When that gateway
+// was in another zone, it had a watcher of its own. Two gateways could then watch through each other, and none learned
+// of a leaving endpoint until their watches timed out.
+TEST_F(RelayedStoreTest, watch_severalZones_everyGatewayReachesAStoreWatcher)
 {
     for (int fleet = 0; fleet < 20; ++fleet) {
         peers.clear();
@@ -78,14 +79,14 @@
             const std::string name = "gateway-" + std::to_string(fleet) + "-" + std::to_string(n);
             peers[name] = {"10.0.0.1:1", n % 5 == 0 ? 0.5 : 0.1, "zone-" + std::to_string(n % 4)};
         }
-        expectEachReachesAWatcher();
+        expectEachReachesAStoreWatcher();
     }
 }
 
 namespace
 {
 
-/// Answers as homes do that reach the store, and writes down who was asked.
+/// Answers like a home that reaches the store, and records the peers that were asked.
 class HomeWatchPeers : public WatchPeerPort
 {
 public:
@@ -118,7 +119,7 @@
 
 }
 
-/// A gateway that is cut off from the store, and a home beside an endpoint that is not.
+/// A gateway that is cut off from the store, and homes beside endpoints that are not.
 class ReadThroughHomeTest : public testing::Test
 {
 protected:
@@ -165,9 +166,10 @@
     RelayedStore relayed;
 };
 
-// All gateways are cut off from the store just after endpoints crashed. Those that start in their place are known only
-// to the store; gateways that asked nobody would send everything to the others until the cut ends.
-TEST_F(ReadThroughHomeTest, gatewayCutOff_readsTheStoreThroughAHomeOfItsZone)
+// Guards against sending all calls to the endpoints that are left. All gateways are cut off from the store just after
+// endpoints crashed. The endpoints that start in their place are known only to the store, so the gateways must read it
+// through a home.
+TEST_F(ReadThroughHomeTest, list_gatewayCutOff_readsThroughHomeOfItsZone)
 {
     put("servers/e1");
     link.setCut(true);
@@ -178,7 +180,7 @@
     EXPECT_TRUE(relayed.isReadingThroughHome());
 }
 
-TEST_F(ReadThroughHomeTest, storeBack_isReadDirectlyAgain)
+TEST_F(ReadThroughHomeTest, list_storeReachableAgain_readsDirectly)
 {
     put("servers/e1");
     link.setCut(true);
@@ -191,8 +193,9 @@
     EXPECT_FALSE(relayed.isReadingThroughHome());
 }
 
-// The store itself is down, or the homes are gone too: the failure is that of the store, and told at once.
-TEST_F(ReadThroughHomeTest, homesSilentToo_failsAsTheStoreDid)
+// Guards against hiding a failure of the store: if the store is down, or the homes can't be reached either, the store's
+// failure is reported.
+TEST_F(ReadThroughHomeTest, list_homesSilentToo_failsLikeTheStore)
 {
     link.setCut(true);
     port.isSilent = true;
@@ -202,11 +205,11 @@
     EXPECT_EQ(port.asked, (std::vector<std::string>{"h-a", "h-a"}));
 }
 
-TEST_F(ReadThroughHomeTest, watcherAndHomesHaveLostTheStore_gatewayThatReachesItReadsItItself)
+TEST_F(ReadThroughHomeTest, watch_watcherAndHomesLostStore_readsDirectly)
 {
-    // A cut takes the gateway that watches for its zone, and the home that all of the zone would read through. Both say
-    // that the store is lost; it answers the others of the zone. One that took their word for it served an older
-    // configuration for six seconds, and refused calls on routes that had been added since.
+    // The gateway that watches for the zone, and the home through which the zone would read, are cut off from the store
+    // and report that. Other gateways of the zone still reach the store. A gateway that trusted these reports served an
+    // outdated configuration for six seconds, and refused calls on routes that had been added since.
     homes.setPeers({{"g", {"10.0.0.1:1", 1, "a"}},
                     {"w", {"10.0.0.2:1", 1000, "a"}},
                     {"h-a", {"10.0.1.2:1", 1, "a", PeerKind::Home}}});
@@ -226,7 +229,7 @@
 namespace
 {
 
-/// Gateways of a zone that answer as each is told to, and writes down who was asked.
+/// Gateways of a zone, each with a set answer. Records the peers that were asked.
 class ZoneWatchPeers : public WatchPeerPort
 {
 public:
@@ -245,7 +248,7 @@
 
 }
 
-/// A gateway with four others in its zone, all stronger than it.
+/// A gateway with four others in its zone, all of a greater weight.
 class ZoneWatcherTest : public testing::Test
 {
 protected:
@@ -254,7 +257,7 @@
         homes.setOwnPeer({"10.0.0.9:1", 0.1, "a"});
     }
 
-    void nameOthers()
+    void setPeers()
     {
         std::map<std::string, FleetPeer> peers;
         for (int n = 0; n < 4; ++n) {
@@ -286,10 +289,10 @@
     int answers = 0;
 };
 
-// Guards against a zone whose gateways all ask the store when the one that watches is gone.
-TEST_F(ZoneWatcherTest, watcherIsGone_nextOfItsZoneIsAskedAndNotTheStore)
+// Guards against a zone whose gateways all ask the store when their watcher is gone.
+TEST_F(ZoneWatcherTest, watch_watcherUnreachable_asksNextOfZoneNotStore)
 {
-    nameOthers();
+    setPeers();
     port.failures[homes.watcher(timers.now())] = FailureCode::ConnectionLost;
     watch();
     EXPECT_EQ(answers, 1);
@@ -297,20 +300,21 @@
     EXPECT_EQ(link.calls(), 0);
 }
 
-// Guards against news that come late: the time that they may take was used up by the silence.
-TEST_F(ZoneWatcherTest, watcherIsSilent_storeIsAskedAtOnce)
+// Guards against changes that arrive too late: a silent watcher has used up the time in which they must arrive, so no
+// further watcher is asked.
+TEST_F(ZoneWatcherTest, watch_watcherSilent_asksStoreAtOnce)
 {
-    nameOthers();
+    setPeers();
     port.failures[homes.watcher(timers.now())] = FailureCode::ConnectionSilent;
     watch();
     EXPECT_EQ(port.asked.size(), 1U);
     EXPECT_EQ(link.calls(), 1);
 }
 
-// Guards against a gateway that waits for its zone's watchers while only these are cut off from the store.
-TEST_F(ZoneWatcherTest, noneOfTheZoneReachesTheStore_storeIsAskedInTheEnd)
+// Guards against a gateway that keeps asking its zone's watchers while only these are cut off from the store.
+TEST_F(ZoneWatcherTest, watch_allWatchersLostStore_asksStoreFinally)
 {
-    nameOthers();
+    setPeers();
     for (int n = 0; n < 4; ++n) {
         port.failures["g-" + std::to_string(n)] = FailureCode::StoreUnavailable;
     }
@@ -319,19 +323,19 @@
     EXPECT_EQ(link.calls(), 1);
 }
 
-// Guards against watches of the store by every process of a fleet that starts.
-TEST_F(ZoneWatcherTest, othersNotKnownYet_watchWaitsForThem)
+// Guards against a starting fleet in which every process watches the store itself.
+TEST_F(ZoneWatcherTest, watch_peersNotKnownYet_waitsForThem)
 {
     watch();
     pass(std::chrono::milliseconds(200));
     EXPECT_EQ(link.calls(), 0);
-    nameOthers();
+    setPeers();
     pass(std::chrono::milliseconds(60));
     EXPECT_EQ(port.asked.size(), 1U);
     EXPECT_EQ(link.calls(), 0);
 }
 
-TEST_F(ZoneWatcherTest, othersNeverKnown_storeIsWatchedAfterAWhile)
+TEST_F(ZoneWatcherTest, watch_peersNeverKnown_asksStoreAfterAWhile)
 {
     watch();
     for (int n = 0; n < 50; ++n) {
@@ -340,10 +344,11 @@
     EXPECT_EQ(link.calls(), 1);
 }
 
-// Guards against lists from the store by all that were cut off, and against a list older than what was heard before.
-TEST_F(ZoneWatcherTest, list_isTakenFromTheWatcherUnlessItIsOlder)
+// Guards against lists from the store by all gateways after a partition, and against a list that is older than what the
+// gateway already knows.
+TEST_F(ZoneWatcherTest, list_watchersListOutdated_readsFromStore)
 {
-    nameOthers();
+    setPeers();
     relayed.list("servers/", [](const absl::StatusOr<StoreChanges> &) {});
     EXPECT_EQ(link.calls(), 0);
 
@@ -353,8 +358,9 @@
     EXPECT_EQ(link.calls(), 1);
 }
 
-// Guards against calls to the store that grow with the fleet: one gateway of each zone watches, however many there are.
-TEST_F(RelayedStoreTest, fleetsOfThirtyToAThousand_asManyWatchTheStoreAsThereAreZones)
+// Guards against calls to the store that grow with the fleet: one gateway of each zone watches, however many gateways
+// there are.
+TEST_F(RelayedStoreTest, watch_fleetsOfThirtyToAThousand_oneStoreWatcherPerZone)
 {
     constexpr int kZones = 5;
     for (const int size : {30, 100, 300, 1'000}) {
--- a/tests/core/serving/servingtable_test.cpp
+++ b/tests/core/serving/servingtable_test.cpp
@@ -32,20 +32,20 @@
     const ServingTable table{configuration()};
 };
 
-TEST_F(ServingTableTest, route_ofSeveralThatFit_isTheLongest)
+TEST_F(ServingTableTest, findRoute_severalMatch_returnsLongestPrefix)
 {
     EXPECT_EQ(nameOf(table.findRoute("shop.example", "/orders/blinds/7?x=/a/")), "blinds");
     EXPECT_EQ(nameOf(table.findRoute("shop.example", "/orders/7")), "orders");
     EXPECT_EQ(nameOf(table.findRoute("shop.example", "/orders")), "all");
 }
 
-TEST_F(ServingTableTest, host_withPortAndCapitals_isTheSame)
+TEST_F(ServingTableTest, findRoute_hostWithPortAndCapitals_matches)
 {
     EXPECT_EQ(nameOf(table.findRoute("Shop.Example:8080", "/orders/7")), "orders");
     EXPECT_EQ(nameOf(table.findRoute("other.example", "/orders/7")), "none");
 }
 
-TEST_F(ServingTableTest, key_ofOrganisation_isFoundAndOthersAreNot)
+TEST_F(ServingTableTest, organisationOfKey_knownAndUnknownKeys_findsOnlyKnown)
 {
     ASSERT_NE(table.organisationOfKey("k2"), nullptr);
     EXPECT_EQ(table.organisationOfKey("k2")->name.value(), "magnolia");
--- a/tests/core/serving/sharedbudgets_test.cpp
+++ b/tests/core/serving/sharedbudgets_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Answers with a set status, and writes down what it was asked.
+/// Answers with a set status, and records the calls.
 class FakePeers : public BudgetPeerPort
 {
 public:
@@ -91,7 +91,7 @@
     SharedBudgets budgets;
 };
 
-TEST_F(SharedBudgetsTest, reservation_isMadeAndSettledAtTheHome)
+TEST_F(SharedBudgetsTest, reserve_homeReachable_reservesAndSettlesAtHome)
 {
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_EQ(peers.asked, std::vector<std::string>{"home"});
@@ -102,8 +102,9 @@
     EXPECT_EQ(budgets.openCalls(), 0U);
 }
 
-// The home is killed. The call is covered by the next gateway, and the calls after it no longer ask the dead one.
-TEST_F(SharedBudgetsTest, lostHome_isPassedOverForTheNextGateway)
+// Guards against calls that fail because the home was killed. The next gateway reserves for the call, and later calls
+// don't ask the dead home again.
+TEST_F(SharedBudgetsTest, reserve_homeLost_reservesAtNextGateway)
 {
     peers.answers["home"] = makeFailure(FailureCode::ConnectionLost, "gone");
     EXPECT_TRUE(reserve("c1").ok());
@@ -115,7 +116,7 @@
     EXPECT_EQ(peers.asked.back(), "home");
 }
 
-TEST_F(SharedBudgetsTest, noGatewayReachable_drawsOnOwnPortion)
+TEST_F(SharedBudgetsTest, reserve_noPeerReachable_usesOwnPortion)
 {
     peers.answers["home"] = makeFailure(FailureCode::ConnectionSilent, "silent");
     peers.answers["next"] = makeFailure(FailureCode::ConnectionLost, "gone");
@@ -124,8 +125,9 @@
     EXPECT_EQ(local.settled, std::vector<std::int64_t>{7});
 }
 
-// This gateway is the home, is cut off from the store and has used up what it held. Another still reaches the store.
-TEST_F(SharedBudgetsTest, homeItselfWithoutLedger_asksTheNextGateway)
+// Guards against refusing a call while another gateway can still reach the store: this gateway is the home, is cut off
+// from the store and has used up its portions.
+TEST_F(SharedBudgetsTest, reserve_gatewayIsHomeWithoutLedger_asksNextGateway)
 {
     homes.setPeers({{"self", {"10.0.0.1:1", 1000}}, {"next", {"10.0.0.3:1", 0.001}}});
     local.status = makeFailure(FailureCode::BudgetUnavailable, "away");
@@ -136,16 +138,17 @@
     EXPECT_EQ(peers.settled.size(), 1U);
 }
 
-TEST_F(SharedBudgetsTest, exhaustedBudget_isFinal)
+TEST_F(SharedBudgetsTest, reserve_budgetExhausted_asksNobodyElse)
 {
     peers.answers["home"] = makeFailure(FailureCode::BudgetExhausted, "empty");
     EXPECT_EQ(failureCode(reserve("c1")), FailureCode::BudgetExhausted);
     EXPECT_EQ(local.asked, 0);
 }
 
-// The home has used up its portion and is cut off from the store. The next gateway stands in for all; when it is cut
-// off too, this one may still reach the store, and when it doesn't either, the caller hears at once.
-TEST_F(SharedBudgetsTest, homeWithoutLedger_isStoodInForByTheFirstThatReachesIt)
+// Guards against refusing a call while another process can still reach the store. The home has used up its portion and
+// is cut off from the store, so the next gateway stands in for it. If that one is cut off too, this gateway may still
+// reach the store. If it doesn't either, the caller gets the failure at once.
+TEST_F(SharedBudgetsTest, reserve_homeWithoutLedger_reservesAtFirstThatReachesIt)
 {
     peers.answers["home"] = makeFailure(FailureCode::BudgetUnavailable, "away");
     EXPECT_TRUE(reserve("c0").ok());
@@ -158,9 +161,9 @@
     EXPECT_EQ(local.asked, 1);
 }
 
-// The home is alive and waits for a slow ledger. Asking others would make more writers of the same object, and a slow
-// ledger slower.
-TEST_F(SharedBudgetsTest, homeThatWaitsForTheLedger_isNotPassedOver)
+// Guards against making a slow ledger slower. The home is alive and waits for the ledger. If other processes were
+// asked, there would be more writers of the same object.
+TEST_F(SharedBudgetsTest, reserve_homeWaitsForLedger_asksNobodyElse)
 {
     peers.answers["home"] = makeFailure(FailureCode::LedgerLate, "late");
     EXPECT_EQ(failureCode(reserve("c1")), FailureCode::LedgerLate);
@@ -168,9 +171,9 @@
     EXPECT_EQ(local.asked, 0);
 }
 
-// What a stand-in takes of a budget lies there unused when the home is back; it must know that it is one, and take
-// little.
-TEST_F(SharedBudgetsTest, standIn_isToldThatItIsOne)
+// Guards against a stand-in that takes a large portion of a budget, which is left there unused when the home is back. A
+// stand-in is told that it is one, so that it takes little.
+TEST_F(SharedBudgetsTest, reserve_homeLost_tellsStandInThatItIsOne)
 {
     peers.answers["home"] = makeFailure(FailureCode::ConnectionLost, "gone");
     EXPECT_TRUE(reserve("c1").ok());
--- a/tests/core/serving/watchlog_test.cpp
+++ b/tests/core/serving/watchlog_test.cpp
@@ -8,8 +8,8 @@
 class WatchLogTest : public testing::Test
 {
 protected:
-    /// Asks, and keeps the answers in the order in which they come.
-    void ask(std::uint64_t fromVersion)
+    /// Watches, and keeps the answers in the order in which they come.
+    void watch(std::uint64_t fromVersion)
     {
         log.watch(fromVersion, [this](const absl::StatusOr<StoreChanges> &changes) {
             answers.push_back(changes);
@@ -25,13 +25,13 @@
     std::vector<absl::StatusOr<StoreChanges>> answers;
 };
 
-TEST_F(WatchLogTest, news_reachThoseThatWaitAndThoseThatAskLater)
+TEST_F(WatchLogTest, noteChanges_earlierAndLaterWatch_bothGetChange)
 {
     log.noteListed(changes({}, 10));
-    ask(10);
+    watch(10);
     EXPECT_TRUE(answers.empty());
     log.noteChanges(changes({{"config/main", "v2", 12}}, 12));
-    ask(10);
+    watch(10);
     ASSERT_EQ(answers.size(), 2U);
     for (const auto &answer : answers) {
         ASSERT_TRUE(answer.ok());
@@ -41,57 +41,58 @@
     }
 }
 
-// The store answers a watch that has nothing to tell. Those that wait hear that too: silence would mean that this
-// gateway no longer hears the store.
-TEST_F(WatchLogTest, wordWithoutNews_isPassedOn)
+// Guards against waiting gateways that take a quiet store for a lost one: an answer of the store without changes is
+// passed on to them.
+TEST_F(WatchLogTest, noteChanges_noChanges_answersWaitingWatch)
 {
     log.noteListed(changes({}, 10));
-    ask(10);
+    watch(10);
     log.noteChanges(changes({}, 15));
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers.front()->nextVersion, 15U);
     EXPECT_TRUE(answers.front()->objects.empty());
 }
 
-TEST_F(WatchLogTest, manyStatesOfOneObject_areSentAsTheNewest)
+TEST_F(WatchLogTest, watch_objectChangedManyTimes_getsNewestValue)
 {
     log.noteListed(changes({}, 10));
     for (std::uint64_t version = 11; version < 30; ++version) {
         log.noteChanges(changes({{"config/main", "v" + std::to_string(version), version}}, version));
     }
-    ask(10);
+    watch(10);
     ASSERT_EQ(answers.front()->objects.size(), 1U);
     EXPECT_EQ(answers.front()->objects.front().value, "v29");
 }
 
-TEST_F(WatchLogTest, questionFromBeforeTheList_isSentToTheStore)
+TEST_F(WatchLogTest, watch_versionBeforeList_failsWithHistoryGone)
 {
     log.noteListed(changes({}, 10));
-    ask(9);
+    watch(9);
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(failureCode(answers.front().status()), FailureCode::HistoryGone);
 }
 
-// The gateway that watches is cut off from the store. Those that wait on it must not take its silence for "nothing
-// new".
-TEST_F(WatchLogTest, lostStore_isToldAtOnce)
+// Guards against waiting gateways that take silence for "no changes" when the watching gateway is cut off from the
+// store.
+TEST_F(WatchLogTest, noteStoreLost_earlierAndLaterWatch_bothFailAtOnce)
 {
     log.noteListed(changes({}, 10));
-    ask(10);
+    watch(10);
     log.noteStoreLost();
-    ask(10);
+    watch(10);
     ASSERT_EQ(answers.size(), 2U);
     for (const auto &answer : answers) {
         EXPECT_EQ(failureCode(answer.status()), FailureCode::StoreUnavailable);
     }
 }
 
-// Guards against a list from the store by every gateway of a zone after a cut: the one that watches has all objects.
-TEST_F(WatchLogTest, everythingAskedFor_isAnsweredWithAllThatIsThere)
+// Guards against a list from the store by every gateway of a zone after a partition: the watching gateway has all
+// objects.
+TEST_F(WatchLogTest, watch_fromVersionZero_getsAllObjects)
 {
     log.noteListed(changes({{"servers/a", "v1", 4}, {"servers/b", "v1", 7}}, 10));
     log.noteChanges(changes({{"servers/a", "", 0}, {"servers/c", "v1", 12}}, 12));
-    ask(0);
+    watch(0);
     ASSERT_EQ(answers.size(), 1U);
     ASSERT_TRUE(answers.front().ok());
     EXPECT_EQ(answers.front()->nextVersion, 12U);
@@ -100,11 +101,11 @@
     EXPECT_EQ(answers.front()->objects.back().key, "servers/c");
 }
 
-// Guards against a zone's gateways that all ask the store, since they start in the moment in which their watcher does.
-TEST_F(WatchLogTest, questionBeforeTheFirstWord_waitsForIt)
+// Guards against a zone whose gateways all watch the store because they start at the same time as their watcher.
+TEST_F(WatchLogTest, watch_beforeFirstAnswer_waitsForIt)
 {
-    ask(0);
-    ask(10);
+    watch(0);
+    watch(10);
     EXPECT_TRUE(answers.empty());
     log.noteListed(changes({{"servers/a", "v1", 12}}, 12));
     ASSERT_EQ(answers.size(), 2U);
@@ -112,12 +113,12 @@
     EXPECT_EQ(failureCode(answers.back().status()), FailureCode::HistoryGone);
 }
 
-TEST_F(WatchLogTest, objectRemovedAndBack_isThereAgain)
+TEST_F(WatchLogTest, watch_objectRemovedAndCreatedAgain_getsObject)
 {
     log.noteListed(changes({{"servers/a", "v1", 4}}, 10));
     log.noteChanges(changes({{"servers/a", "", 0}}, 11));
     log.noteChanges(changes({{"servers/a", "v2", 13}}, 13));
-    ask(10);
+    watch(10);
     ASSERT_EQ(answers.size(), 1U);
     ASSERT_EQ(answers.front()->objects.size(), 1U);
     EXPECT_EQ(answers.front()->objects.front().value, "v2");
