--- a/tests/core/serving/relayedstore_test.cpp
+++ b/tests/core/serving/relayedstore_test.cpp
@@ -257,7 +257,7 @@
         homes.setOwnPeer({"10.0.0.9:1", 0.1, "a"});
     }
 
-    void setPeers()
+    void listPeers()
     {
         std::map<std::string, FleetPeer> peers;
         for (int n = 0; n < 4; ++n) {
@@ -292,7 +292,7 @@
 // Guards against a zone whose gateways all ask the store when their watcher is gone.
 TEST_F(ZoneWatcherTest, watch_watcherUnreachable_asksNextOfZoneNotStore)
 {
-    setPeers();
+    listPeers();
     port.failures[homes.watcher(timers.now())] = FailureCode::ConnectionLost;
     watch();
     EXPECT_EQ(answers, 1);
@@ -304,7 +304,7 @@
 // further watcher is asked.
 TEST_F(ZoneWatcherTest, watch_watcherSilent_asksStoreAtOnce)
 {
-    setPeers();
+    listPeers();
     port.failures[homes.watcher(timers.now())] = FailureCode::ConnectionSilent;
     watch();
     EXPECT_EQ(port.asked.size(), 1U);
@@ -314,7 +314,7 @@
 // Guards against a gateway that keeps asking its zone's watchers while only these are cut off from the store.
 TEST_F(ZoneWatcherTest, watch_allWatchersLostStore_asksStoreFinally)
 {
-    setPeers();
+    listPeers();
     for (int n = 0; n < 4; ++n) {
         port.failures["g-" + std::to_string(n)] = FailureCode::StoreUnavailable;
     }
@@ -329,7 +329,7 @@
     watch();
     pass(std::chrono::milliseconds(200));
     EXPECT_EQ(link.calls(), 0);
-    setPeers();
+    listPeers();
     pass(std::chrono::milliseconds(60));
     EXPECT_EQ(port.asked.size(), 1U);
     EXPECT_EQ(link.calls(), 0);
@@ -348,7 +348,7 @@
 // gateway already knows.
 TEST_F(ZoneWatcherTest, list_watchersListOutdated_readsFromStore)
 {
-    setPeers();
+    listPeers();
     relayed.list("servers/", [](const absl::StatusOr<StoreChanges> &) {});
     EXPECT_EQ(link.calls(), 0);
 
--- a/tests/core/serving/watchlog_test.cpp
+++ b/tests/core/serving/watchlog_test.cpp
@@ -9,7 +9,7 @@
 {
 protected:
     /// Watches, and keeps the answers in the order in which they come.
-    void watch(std::uint64_t fromVersion)
+    void watchFrom(std::uint64_t fromVersion)
     {
         log.watch(fromVersion, [this](const absl::StatusOr<StoreChanges> &changes) {
             answers.push_back(changes);
@@ -28,10 +28,10 @@
 TEST_F(WatchLogTest, noteChanges_earlierAndLaterWatch_bothGetChange)
 {
     log.noteListed(changes({}, 10));
-    watch(10);
+    watchFrom(10);
     EXPECT_TRUE(answers.empty());
     log.noteChanges(changes({{"config/main", "v2", 12}}, 12));
-    watch(10);
+    watchFrom(10);
     ASSERT_EQ(answers.size(), 2U);
     for (const auto &answer : answers) {
         ASSERT_TRUE(answer.ok());
@@ -46,7 +46,7 @@
 TEST_F(WatchLogTest, noteChanges_noChanges_answersWaitingWatch)
 {
     log.noteListed(changes({}, 10));
-    watch(10);
+    watchFrom(10);
     log.noteChanges(changes({}, 15));
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers.front()->nextVersion, 15U);
@@ -59,7 +59,7 @@
     for (std::uint64_t version = 11; version < 30; ++version) {
         log.noteChanges(changes({{"config/main", "v" + std::to_string(version), version}}, version));
     }
-    watch(10);
+    watchFrom(10);
     ASSERT_EQ(answers.front()->objects.size(), 1U);
     EXPECT_EQ(answers.front()->objects.front().value, "v29");
 }
@@ -67,7 +67,7 @@
 TEST_F(WatchLogTest, watch_versionBeforeList_failsWithHistoryGone)
 {
     log.noteListed(changes({}, 10));
-    watch(9);
+    watchFrom(9);
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(failureCode(answers.front().status()), FailureCode::HistoryGone);
 }
@@ -77,9 +77,9 @@
 TEST_F(WatchLogTest, noteStoreLost_earlierAndLaterWatch_bothFailAtOnce)
 {
     log.noteListed(changes({}, 10));
-    watch(10);
+    watchFrom(10);
     log.noteStoreLost();
-    watch(10);
+    watchFrom(10);
     ASSERT_EQ(answers.size(), 2U);
     for (const auto &answer : answers) {
         EXPECT_EQ(failureCode(answer.status()), FailureCode::StoreUnavailable);
@@ -92,7 +92,7 @@
 {
     log.noteListed(changes({{"servers/a", "v1", 4}, {"servers/b", "v1", 7}}, 10));
     log.noteChanges(changes({{"servers/a", "", 0}, {"servers/c", "v1", 12}}, 12));
-    watch(0);
+    watchFrom(0);
     ASSERT_EQ(answers.size(), 1U);
     ASSERT_TRUE(answers.front().ok());
     EXPECT_EQ(answers.front()->nextVersion, 12U);
@@ -104,8 +104,8 @@
 // Guards against a zone whose gateways all watch the store because they start at the same time as their watcher.
 TEST_F(WatchLogTest, watch_beforeFirstAnswer_waitsForIt)
 {
-    watch(0);
-    watch(10);
+    watchFrom(0);
+    watchFrom(10);
     EXPECT_TRUE(answers.empty());
     log.noteListed(changes({{"servers/a", "v1", 12}}, 12));
     ASSERT_EQ(answers.size(), 2U);
@@ -118,7 +118,7 @@
     log.noteListed(changes({{"servers/a", "v1", 4}}, 10));
     log.noteChanges(changes({{"servers/a", "", 0}}, 11));
     log.noteChanges(changes({{"servers/a", "v2", 13}}, 13));
-    watch(10);
+    watchFrom(10);
     ASSERT_EQ(answers.size(), 1U);
     ASSERT_EQ(answers.front()->objects.size(), 1U);
     EXPECT_EQ(answers.front()->objects.front().value, "v2");
