--- a/src/libradishswitch/serving/homedirectory.cpp
+++ b/src/libradishswitch/serving/homedirectory.cpp
@@ -82,7 +82,7 @@
     return {isHome, weightedScore(state.hash, keyHash, state.peer.weight)};
 }
 
-HomeDirectory::Ranking HomeDirectory::makeRanking(std::string_view key, std::size_t most) const
+HomeDirectory::Ranking HomeDirectory::makeRanking(std::string_view key, std::size_t maximumPerKind) const
 {
     const std::uint64_t keyHash = rendezvousHash(key);
     std::vector<std::pair<Rank, std::string_view>> all;
@@ -96,11 +96,11 @@
     std::size_t gateways = 0;
     for (const auto &[rank, name] : all) {
         std::size_t &kept = std::get<bool>(rank) ? homes : gateways;
-        if (kept++ < most) {
+        if (kept++ < maximumPerKind) {
             ranking.names.emplace_back(name);
         }
     }
-    ranking.isTruncated = homes > most || gateways > most;
+    ranking.isTruncated = homes > maximumPerKind || gateways > maximumPerKind;
     return ranking;
 }
 
@@ -118,8 +118,8 @@
 
 std::vector<std::string> HomeDirectory::candidates(std::string_view key, Instant now) const
 {
-    if (const auto few = candidatesAmong(rankingOf(key), now)) {
-        return *few;
+    if (const auto topCandidates = candidatesAmong(rankingOf(key), now)) {
+        return *topCandidates;
     }
     return *candidatesAmong(makeRanking(key, m_peers.size()), now);
 }
--- a/src/libradishswitch/serving/homedirectory.h
+++ b/src/libradishswitch/serving/homedirectory.h
@@ -130,7 +130,7 @@
     static Rank rankOf(const PeerState &state, std::uint64_t keyHash);
 
     const Ranking &rankingOf(std::string_view key) const;
-    Ranking makeRanking(std::string_view key, std::size_t most) const;
+    Ranking makeRanking(std::string_view key, std::size_t maximumPerKind) const;
     /// The candidates among the processes of `ranking`; nothing if too few of them may be asked.
     std::optional<std::vector<std::string>> candidatesAmong(const Ranking &ranking, Instant now) const;
     std::optional<std::string> usualHomeAmong(const Ranking &ranking) const;
--- a/tests/core/limits/fairqueue_test.cpp
+++ b/tests/core/limits/fairqueue_test.cpp
@@ -14,10 +14,10 @@
 {
 protected:
     QueuedRequest request(const std::string &organisation, double share = 1, int priority = 0, std::int64_t cost = 100,
-                          Duration patience = 3600s)
+                          Duration timeToDeadline = 3600s)
     {
         const RequestId id(organisation + "-" + std::to_string(++m_count));
-        return {id, OrganisationId(organisation), priority, share, cost, m_timers.now() + patience};
+        return {id, OrganisationId(organisation), priority, share, cost, m_timers.now() + timeToDeadline};
     }
 
     absl::Status enqueue(const QueuedRequest &request)
@@ -217,11 +217,11 @@
 
 TEST_F(FairQueueTest, remove_callerDisconnected_isNotServed)
 {
-    const QueuedRequest gone = request("a");
-    ASSERT_TRUE(enqueue(gone).ok());
+    const QueuedRequest cancelled = request("a");
+    ASSERT_TRUE(enqueue(cancelled).ok());
 
-    EXPECT_TRUE(m_queue.remove(gone.request, m_timers.now()));
-    EXPECT_FALSE(m_queue.remove(gone.request, m_timers.now()));
+    EXPECT_TRUE(m_queue.remove(cancelled.request, m_timers.now()));
+    EXPECT_FALSE(m_queue.remove(cancelled.request, m_timers.now()));
     EXPECT_EQ(nextOrganisation(), "");
 }
 
--- a/tests/core/limits/loadshedder_test.cpp
+++ b/tests/core/limits/loadshedder_test.cpp
@@ -33,7 +33,7 @@
 TEST_F(LoadShedderTest, isShedding_singleLateMeasurement_acceptsRequests)
 {
     // A process that was stopped for two seconds runs everything late once, and then serves at once what waited
-    // meanwhile. Refusing requests would turn callers away from an instance that has time.
+    // meanwhile. The instance has time for new requests and need not refuse them.
     note(2000);
     EXPECT_FALSE(shedder.isShedding(now));
     advance(5);
--- a/tests/core/serving/objectfollower_test.cpp
+++ b/tests/core/serving/objectfollower_test.cpp
@@ -105,7 +105,7 @@
 TEST_F(ObjectFollowerTest, watch_historyGone_isFollowedByAListAtOnce)
 {
     put("one");
-    store.nextWatchStatus = makeFailure(FailureCode::HistoryGone, "gone");
+    store.nextWatchStatus = makeFailure(FailureCode::HistoryGone, "no history");
     follower.start();
     run();
     EXPECT_EQ(store.lists, 2);
@@ -120,7 +120,7 @@
     follower.setReachabilityCallback([&reachability](bool isStoreReachable) {
         reachability.push_back(isStoreReachable);
     });
-    store.nextWatchStatus = makeFailure(FailureCode::StoreUnavailable, "away");
+    store.nextWatchStatus = makeFailure(FailureCode::StoreUnavailable, "the store does not answer");
     follower.start();
     store.setAway(true);
     for (int n = 0; n < 200; ++n) {
--- a/tests/core/serving/relayedstore_test.cpp
+++ b/tests/core/serving/relayedstore_test.cpp
@@ -238,7 +238,8 @@
     {
         asked.push_back(peer);
         const auto it = failures.find(peer);
-        it == failures.end() ? callback(StoreChanges{{}, version}) : callback(makeFailure(it->second, "told to"));
+        it == failures.end() ? callback(StoreChanges{{}, version})
+                             : callback(makeFailure(it->second, "set by the test"));
     }
 
     std::map<std::string, FailureCode> failures;
--- a/tests/core/serving/sharedbudgets_test.cpp
+++ b/tests/core/serving/sharedbudgets_test.cpp
@@ -106,7 +106,7 @@
 // don't ask the dead home again.
 TEST_F(SharedBudgetsTest, reserve_homeLost_reservesAtNextGateway)
 {
-    peers.answers["home"] = makeFailure(FailureCode::ConnectionLost, "gone");
+    peers.answers["home"] = makeFailure(FailureCode::ConnectionLost, "connection lost");
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_TRUE(reserve("c2").ok());
     EXPECT_EQ(peers.asked, (std::vector<std::string>{"home", "next", "next"}));
@@ -119,7 +119,7 @@
 TEST_F(SharedBudgetsTest, reserve_noPeerReachable_usesOwnPortion)
 {
     peers.answers["home"] = makeFailure(FailureCode::ConnectionSilent, "silent");
-    peers.answers["next"] = makeFailure(FailureCode::ConnectionLost, "gone");
+    peers.answers["next"] = makeFailure(FailureCode::ConnectionLost, "connection lost");
     EXPECT_TRUE(reserve("c1").ok());
     budgets.settle(RequestId("c1"), 7);
     EXPECT_EQ(local.settled, std::vector<std::int64_t>{7});
@@ -130,7 +130,7 @@
 TEST_F(SharedBudgetsTest, reserve_gatewayIsHomeWithoutLedger_asksNextGateway)
 {
     homes.setPeers({{"self", {"10.0.0.1:1", 1000}}, {"next", {"10.0.0.3:1", 0.001}}});
-    local.status = makeFailure(FailureCode::BudgetUnavailable, "away");
+    local.status = makeFailure(FailureCode::BudgetUnavailable, "the ledger does not answer");
     local.isLedgerLost = true;
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_EQ(peers.asked, std::vector<std::string>{"next"});
@@ -150,10 +150,10 @@
 // reach the store. If it doesn't either, the caller gets the failure at once.
 TEST_F(SharedBudgetsTest, reserve_homeWithoutLedger_reservesAtFirstThatReachesIt)
 {
-    peers.answers["home"] = makeFailure(FailureCode::BudgetUnavailable, "away");
+    peers.answers["home"] = makeFailure(FailureCode::BudgetUnavailable, "the ledger does not answer");
     EXPECT_TRUE(reserve("c0").ok());
     EXPECT_EQ(peers.asked.back(), "next");
-    peers.answers["next"] = makeFailure(FailureCode::BudgetUnavailable, "away");
+    peers.answers["next"] = makeFailure(FailureCode::BudgetUnavailable, "the ledger does not answer");
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_EQ(local.asked, 1);
     local.isLedgerLost = true;
@@ -175,7 +175,7 @@
 // stand-in is told that it is one, so that it takes little.
 TEST_F(SharedBudgetsTest, reserve_homeLost_tellsStandInThatItIsOne)
 {
-    peers.answers["home"] = makeFailure(FailureCode::ConnectionLost, "gone");
+    peers.answers["home"] = makeFailure(FailureCode::ConnectionLost, "connection lost");
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_EQ(peers.asked, (std::vector<std::string>{"home", "next"}));
     EXPECT_EQ(peers.standIns, (std::vector<bool>{false, true}));
