--- a/tests/core/serving/callallowances_test.cpp
+++ b/tests/core/serving/callallowances_test.cpp
@@ -1,5 +1,5 @@
 #include "base/rendezvous.h"
-#include "limits/slidingcount.h"
+#include "limits/slidingwindowcounter.h"
 #include "serving/callallowances.h"
 
 #include <gtest/gtest.h>
@@ -106,7 +106,7 @@
         return Instant(std::chrono::milliseconds(milliseconds));
     }
 
-    SlidingCount count{std::chrono::seconds(1)};
+    SlidingWindowCounter count{std::chrono::seconds(1)};
 };
 
 // Guards against twice the bound within one second, when half of the calls fall at the end of one window and half at
--- a/tests/core/serving/sharedbudgets_test.cpp
+++ b/tests/core/serving/sharedbudgets_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Answers with a set status, and writes down what it was asked.
+/// Answers with a set status, and records the calls.
 class FakePeers : public BudgetPeerPort
 {
 public:
@@ -39,25 +39,25 @@
 class FakeLocal : public LocalBudgets
 {
 public:
-    void reserveHere(const ReservationRequest &request, ReservationCallback callback) override
+    void reserveLocally(const ReservationRequest &request, ReservationCallback callback) override
     {
         ++asked;
         callback(status.ok() ? absl::StatusOr<Reservation>(Reservation{PortionId("p"), request.tokens})
                              : absl::StatusOr<Reservation>(status));
     }
 
-    bool isLedgerAway(const BudgetId &) const override
+    bool isLedgerUnreachable(const BudgetId &) const override
     {
-        return isAway;
+        return isLedgerLost;
     }
 
-    void settleHere(const RequestId &, std::int64_t usedTokens) override
+    void settleLocally(const RequestId &, std::int64_t usedTokens) override
     {
         settled.push_back(usedTokens);
     }
 
     absl::Status status;
-    bool isAway = false;
+    bool isLedgerLost = false;
     int asked = 0;
     std::vector<std::int64_t> settled;
 };
@@ -91,7 +91,7 @@
     SharedBudgets budgets;
 };
 
-TEST_F(SharedBudgetsTest, reservation_isMadeAndSettledAtTheHome)
+TEST_F(SharedBudgetsTest, reserve_homeReachable_reservesAndSettlesAtHome)
 {
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_EQ(peers.asked, std::vector<std::string>{"home"});
@@ -102,10 +102,11 @@
     EXPECT_EQ(budgets.openCalls(), 0U);
 }
 
-// The home is killed. The call is covered by the next gateway, and the calls after it no longer ask the dead one.
-TEST_F(SharedBudgetsTest, lostHome_isPassedOverForTheNextGateway)
+// Guards against calls that fail because the home was killed. The next gateway reserves for the call, and later calls
+// don't ask the dead home again.
+TEST_F(SharedBudgetsTest, reserve_homeLost_reservesAtNextGateway)
 {
-    peers.answers["home"] = makeFailure(FailureCode::ConnectionLost, "gone");
+    peers.answers["home"] = makeFailure(FailureCode::ConnectionLost, "connection lost");
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_TRUE(reserve("c2").ok());
     EXPECT_EQ(peers.asked, (std::vector<std::string>{"home", "next", "next"}));
@@ -115,52 +116,54 @@
     EXPECT_EQ(peers.asked.back(), "home");
 }
 
-TEST_F(SharedBudgetsTest, noGatewayReachable_drawsOnOwnPortion)
+TEST_F(SharedBudgetsTest, reserve_noPeerReachable_usesOwnPortion)
 {
     peers.answers["home"] = makeFailure(FailureCode::ConnectionSilent, "silent");
-    peers.answers["next"] = makeFailure(FailureCode::ConnectionLost, "gone");
+    peers.answers["next"] = makeFailure(FailureCode::ConnectionLost, "connection lost");
     EXPECT_TRUE(reserve("c1").ok());
     budgets.settle(RequestId("c1"), 7);
     EXPECT_EQ(local.settled, std::vector<std::int64_t>{7});
 }
 
-// This gateway is the home, is cut off from the store and has used up what it held. Another still reaches the store.
-TEST_F(SharedBudgetsTest, homeItselfWithoutLedger_asksTheNextGateway)
+// Guards against refusing a call while another gateway can still reach the store: this gateway is the home, is cut off
+// from the store and has used up its portions.
+TEST_F(SharedBudgetsTest, reserve_gatewayIsHomeWithoutLedger_asksNextGateway)
 {
     homes.setPeers({{"self", {"10.0.0.1:1", 1000}}, {"next", {"10.0.0.3:1", 0.001}}});
-    local.status = makeFailure(FailureCode::BudgetUnavailable, "away");
-    local.isAway = true;
+    local.status = makeFailure(FailureCode::BudgetUnavailable, "the ledger does not answer");
+    local.isLedgerLost = true;
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_EQ(peers.asked, std::vector<std::string>{"next"});
     budgets.settle(RequestId("c1"), 9);
     EXPECT_EQ(peers.settled.size(), 1U);
 }
 
-TEST_F(SharedBudgetsTest, exhaustedBudget_isFinal)
+TEST_F(SharedBudgetsTest, reserve_budgetExhausted_asksNobodyElse)
 {
     peers.answers["home"] = makeFailure(FailureCode::BudgetExhausted, "empty");
     EXPECT_EQ(failureCode(reserve("c1")), FailureCode::BudgetExhausted);
     EXPECT_EQ(local.asked, 0);
 }
 
-// The home has used up its portion and is cut off from the store. The next gateway stands in for all; when it is cut
-// off too, this one may still reach the store, and when it doesn't either, the caller hears at once.
-TEST_F(SharedBudgetsTest, homeWithoutLedger_isStoodInForByTheFirstThatReachesIt)
+// Guards against refusing a call while another process can still reach the store. The home has used up its portion and
+// is cut off from the store, so the next gateway stands in for it. If that one is cut off too, this gateway may still
+// reach the store. If it doesn't either, the caller gets the failure at once.
+TEST_F(SharedBudgetsTest, reserve_homeWithoutLedger_reservesAtFirstThatReachesIt)
 {
-    peers.answers["home"] = makeFailure(FailureCode::BudgetUnavailable, "away");
+    peers.answers["home"] = makeFailure(FailureCode::BudgetUnavailable, "the ledger does not answer");
     EXPECT_TRUE(reserve("c0").ok());
     EXPECT_EQ(peers.asked.back(), "next");
-    peers.answers["next"] = makeFailure(FailureCode::BudgetUnavailable, "away");
+    peers.answers["next"] = makeFailure(FailureCode::BudgetUnavailable, "the ledger does not answer");
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_EQ(local.asked, 1);
-    local.isAway = true;
+    local.isLedgerLost = true;
     EXPECT_EQ(failureCode(reserve("c2")), FailureCode::BudgetUnavailable);
     EXPECT_EQ(local.asked, 1);
 }
 
-// The home is alive and waits for a slow ledger. Asking others would make more writers of the same object, and a slow
-// ledger slower.
-TEST_F(SharedBudgetsTest, homeThatWaitsForTheLedger_isNotPassedOver)
+// Guards against making a slow ledger slower. The home is alive and waits for the ledger. If other processes were
+// asked, there would be more writers of the same object.
+TEST_F(SharedBudgetsTest, reserve_homeWaitsForLedger_asksNobodyElse)
 {
     peers.answers["home"] = makeFailure(FailureCode::LedgerLate, "late");
     EXPECT_EQ(failureCode(reserve("c1")), FailureCode::LedgerLate);
@@ -168,11 +171,11 @@
     EXPECT_EQ(local.asked, 0);
 }
 
-// What a stand-in takes of a budget lies there unused when the home is back; it must know that it is one, and take
-// little.
-TEST_F(SharedBudgetsTest, standIn_isToldThatItIsOne)
+// Guards against a stand-in that takes a large portion of a budget, which is left there unused when the home is back. A
+// stand-in is told that it is one, so that it takes little.
+TEST_F(SharedBudgetsTest, reserve_homeLost_tellsStandInThatItIsOne)
 {
-    peers.answers["home"] = makeFailure(FailureCode::ConnectionLost, "gone");
+    peers.answers["home"] = makeFailure(FailureCode::ConnectionLost, "connection lost");
     EXPECT_TRUE(reserve("c1").ok());
     EXPECT_EQ(peers.asked, (std::vector<std::string>{"home", "next"}));
     EXPECT_EQ(peers.standIns, (std::vector<bool>{false, true}));
