--- a/src/entry/dispatchgate.cpp
+++ b/src/entry/dispatchgate.cpp
@@ -110,7 +110,7 @@
 {
     m_monitor.run([&] {
         m_ceilings.setParts(1.0 / static_cast<double>(count), m_timers.now());
-        m_router.setPartOfCapacity(rank, count);
+        m_router.setCapacityShare(rank, count);
     });
 }
 
@@ -354,7 +354,7 @@
             pump(id, pool, now);
         }
         if (now.time_since_epoch() % kForgetInterval < kTick) {
-            m_directory.forgetGone(now);
+            m_directory.removeSilent(now);
         }
     });
 }
--- a/src/entry/peerlinks.cpp
+++ b/src/entry/peerlinks.cpp
@@ -192,7 +192,7 @@
 {
     std::set<std::string> addresses;
     const std::vector<EntryMember> live = m_monitor.run([this] {
-        m_membership.advance(m_timers.now());
+        m_membership.updateLiveness(m_timers.now());
         return m_membership.liveEntries(std::string());
     });
     for (const EntryMember &member : live) {
--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -30,7 +30,7 @@
     parser.add("full-batch", settings.fullBatch, "added for an endpoint with all slots in use, in proportion");
     parser.addNumber("least-limit", settings.leastLimit, 1, kMostLimit,
                      "calls that an endpoint may have under way, however often it refuses");
-    parser.addNumber("ejected-share", settings.ejection.ejectedShare, 0, 1,
+    parser.addNumber("ejected-share", settings.ejection.maximumEjectedShare, 0, 1,
                      "share of a pool that may be left out for its failures; 0 for none");
     parser.addFlag("no-speed-learning", settings.hasFixedSpeed, "keep to the reading speed that is set");
     parser.addFlag("no-affinity", settings.hasNoAffinity, "do not send calls with a shared part to one endpoint");
--- a/src/libradishnet/wireconversion.cpp
+++ b/src/libradishnet/wireconversion.cpp
@@ -17,7 +17,7 @@
 
 absl::Status failureFromWire(const wire::Failure &failure)
 {
-    const FailureCode code = failureOfName(failure.code()).value_or(FailureCode::Internal);
+    const FailureCode code = failureFromName(failure.code()).value_or(FailureCode::Internal);
     absl::Status status = failure.retry_after_ms() > 0
         ? makeFailure(code, failure.message(), std::chrono::milliseconds(failure.retry_after_ms()))
         : makeFailure(code, failure.message());
--- a/src/libradishswitch/agents/agentroster.cpp
+++ b/src/libradishswitch/agents/agentroster.cpp
@@ -21,21 +21,21 @@
         }
     }
     const Instant now = m_timers.now();
-    std::erase_if(m_gone, [now](const Gone &gone) {
-        return now - gone.noticed > kMemory;
+    std::erase_if(m_removed, [now](const RemovedAgent &gone) {
+        return now - gone.noticedAt > kRetention;
     });
     for (const std::string &address : earlier) {
         if (!m_present.contains(address)) {
-            m_gone.push_back({address, now});
+            m_removed.push_back({address, now});
         }
     }
 }
 
-std::vector<std::string> AgentRoster::since(Instant moment) const
+std::vector<std::string> AgentRoster::presentSince(Instant moment) const
 {
     std::vector<std::string> addresses(m_present.begin(), m_present.end());
-    for (const Gone &gone : m_gone) {
-        if (gone.noticed >= moment && !m_present.contains(gone.address)) {
+    for (const RemovedAgent &gone : m_removed) {
+        if (gone.noticedAt >= moment && !m_present.contains(gone.address)) {
             addresses.push_back(gone.address);
         }
     }
--- a/src/libradishswitch/agents/agentroster.h
+++ b/src/libradishswitch/agents/agentroster.h
@@ -10,16 +10,16 @@
 namespace RadishSwitch
 {
 
-/// The agents that the platform lists, with those that it listed lately, to know where a run may have been sent since
-/// some moment.
+/// The agents that the platform lists, with those that it listed lately, to know where a run may have been sent
+/// presentSince some moment.
 ///
-/// An entry that dies before it told where it sent a run may have sent it to an agent that has gone since. Who looks
-/// only at the agents of today finds the run nowhere, takes it as not run and repeats an order that was placed.
+/// An entry that dies before it told where it sent a run may have sent it to an agent that has gone since. Who
+/// looks only at the agents of today finds the run nowhere, takes it as not run and repeats an order that was placed.
 class AgentRoster
 {
 public:
     /// How long the gone are remembered: longer than any request stays open.
-    static constexpr Duration kMemory = std::chrono::hours(24);
+    static constexpr Duration kRetention = std::chrono::hours(24);
 
     AgentRoster(const AgentPort &agents, const TimerService &timers);
 
@@ -27,18 +27,18 @@
     void refresh();
 
     /// All agents that were there at this moment or later, as far as it was noticed.
-    std::vector<std::string> since(Instant moment) const;
+    std::vector<std::string> presentSince(Instant moment) const;
 
 private:
-    struct Gone {
+    struct RemovedAgent {
         std::string address;
-        Instant noticed;
+        Instant noticedAt;
     };
 
     const AgentPort &m_agents;
     const TimerService &m_timers;
     std::set<std::string> m_present;
-    std::vector<Gone> m_gone;
+    std::vector<RemovedAgent> m_removed;
 };
 
 }
--- a/src/libradishswitch/base/boundedcall.h
+++ b/src/libradishswitch/base/callbackwithtimeout.h
@@ -16,8 +16,8 @@
 /// A callback for a call of the store that is called once: with the answer, or with StoreTimeout once `deadline` has
 /// passed without one. An answer that comes later is dropped.
 template<typename T>
-std::function<void(absl::StatusOr<T>)> boundedCall(TimerService &timers, Duration deadline,
-                                                   std::function<void(absl::StatusOr<T>)> callback)
+std::function<void(absl::StatusOr<T>)> callbackWithTimeout(TimerService &timers, Duration deadline,
+                                                           std::function<void(absl::StatusOr<T>)> callback)
 {
     const auto isOver = std::make_shared<std::atomic<bool>>(false);
     const auto once = [isOver, callback = std::move(callback)](const absl::StatusOr<T> &answer) {
--- a/src/libradishswitch/base/failure.cpp
+++ b/src/libradishswitch/base/failure.cpp
@@ -22,7 +22,7 @@
     absl::StatusCode statusCode;
 };
 
-constexpr std::array kKinds{
+constexpr std::array kFailureKinds{
     FailureKind{FailureCode::Internal, "internal", 500, absl::StatusCode::kInternal},
     FailureKind{FailureCode::InvalidRequest, "invalid_request", 400, absl::StatusCode::kInvalidArgument},
     FailureKind{FailureCode::MissingKey, "missing_key", 401, absl::StatusCode::kUnauthenticated},
@@ -76,12 +76,12 @@
 
 const FailureKind &kindOf(FailureCode code)
 {
-    for (const FailureKind &kind : kKinds) {
+    for (const FailureKind &kind : kFailureKinds) {
         if (kind.code == code) {
             return kind;
         }
     }
-    return kKinds.front();
+    return kFailureKinds.front();
 }
 
 }
@@ -91,9 +91,9 @@
     return kindOf(code).name;
 }
 
-std::optional<FailureCode> failureOfName(std::string_view name)
+std::optional<FailureCode> failureFromName(std::string_view name)
 {
-    for (const FailureKind &kind : kKinds) {
+    for (const FailureKind &kind : kFailureKinds) {
         if (kind.name == name) {
             return kind.code;
         }
@@ -133,7 +133,7 @@
     if (!payload) {
         return FailureCode::Internal;
     }
-    return failureOfName(std::string(*payload)).value_or(FailureCode::Internal);
+    return failureFromName(std::string(*payload)).value_or(FailureCode::Internal);
 }
 
 RunOutcome outcomeOf(const absl::Status &status)
--- a/src/libradishswitch/base/failure.h
+++ b/src/libradishswitch/base/failure.h
@@ -80,7 +80,7 @@
 std::string_view failureName(FailureCode code);
 
 /// The code of a stable name, or nothing when there is none such.
-std::optional<FailureCode> failureOfName(std::string_view name);
+std::optional<FailureCode> failureFromName(std::string_view name);
 
 /// The HTTP status with which a caller learns of a failure.
 int httpStatusOf(FailureCode code);
--- a/src/libradishswitch/base/lifetoken.h
+++ b/src/libradishswitch/base/lifetimetoken.h
@@ -8,7 +8,7 @@
 
 /// Ties callbacks to the life of the object that holds the token: one that comes after the object's end is dropped
 /// instead of reaching into freed memory.
-class LifeToken
+class LifetimeToken
 {
 public:
     /// Wraps a callback that must not run once the token is gone.
--- a/src/libradishswitch/base/storecallbudget.cpp
+++ b/src/libradishswitch/base/storecalllimiter.cpp
@@ -1,4 +1,4 @@
-#include "base/storecallbudget.h"
+#include "base/storecalllimiter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,7 +14,7 @@
 
 }
 
-StoreCallBudget::StoreCallBudget(TimerService &timers, double callsPerSecond, double burst)
+StoreCallLimiter::StoreCallLimiter(TimerService &timers, double callsPerSecond, double burst)
     : m_timers(timers)
     , m_callsPerSecond(callsPerSecond)
     , m_burst(std::max(1.0, burst))
@@ -23,12 +23,12 @@
 {
 }
 
-StoreCallBudget::~StoreCallBudget()
+StoreCallLimiter::~StoreCallLimiter()
 {
     m_timers.cancel(m_timer);
 }
 
-void StoreCallBudget::acquire(std::function<void()> call)
+void StoreCallLimiter::acquire(std::function<void()> call)
 {
     refill();
     if (m_waiting.empty() && m_tokens >= 1) {
@@ -40,12 +40,12 @@
     schedule();
 }
 
-std::size_t StoreCallBudget::waiting() const
+std::size_t StoreCallLimiter::waiting() const
 {
     return m_waiting.size();
 }
 
-void StoreCallBudget::refill()
+void StoreCallLimiter::refill()
 {
     const Instant now = m_timers.now();
     const double seconds = static_cast<double>((now - m_refilledAt).count()) / kMicrosecondsPerSecond;
@@ -53,7 +53,7 @@
     m_refilledAt = now;
 }
 
-void StoreCallBudget::schedule()
+void StoreCallLimiter::schedule()
 {
     if (m_timer != 0 || m_waiting.empty()) {
         return;
@@ -66,7 +66,7 @@
     });
 }
 
-void StoreCallBudget::runWaiting()
+void StoreCallLimiter::runWaiting()
 {
     refill();
     while (!m_waiting.empty() && m_tokens >= 1) {
--- a/src/libradishswitch/base/storecallbudget.h
+++ b/src/libradishswitch/base/storecalllimiter.h
@@ -12,14 +12,14 @@
 ///
 /// After an outage every shard of every process has something to write. Without a bound that herd would hold the store
 /// down; with it the writes trickle out at the rate of ordinary days.
-class StoreCallBudget
+class StoreCallLimiter
 {
 public:
-    StoreCallBudget(TimerService &timers, double callsPerSecond, double burst);
-    ~StoreCallBudget();
+    StoreCallLimiter(TimerService &timers, double callsPerSecond, double burst);
+    ~StoreCallLimiter();
 
-    StoreCallBudget(const StoreCallBudget &) = delete;
-    StoreCallBudget &operator=(const StoreCallBudget &) = delete;
+    StoreCallLimiter(const StoreCallLimiter &) = delete;
+    StoreCallLimiter &operator=(const StoreCallLimiter &) = delete;
 
     /// Runs `call` as soon as the budget allows: at once, inside this function, when it does now.
     void acquire(std::function<void()> call);
--- a/src/libradishswitch/base/tokenbucket.cpp
+++ b/src/libradishswitch/base/tokenbucket.cpp
@@ -41,7 +41,7 @@
     m_at = now;
 }
 
-void TokenBucket::giveBack(double amount, Instant now)
+void TokenBucket::refund(double amount, Instant now)
 {
     m_level = std::min(m_burst, levelAt(now) + amount);
     m_at = now;
--- a/src/libradishswitch/base/tokenbucket.h
+++ b/src/libradishswitch/base/tokenbucket.h
@@ -19,7 +19,7 @@
     Duration waitFor(double cost, Instant now) const;
 
     void take(double cost, Instant now);
-    void giveBack(double amount, Instant now);
+    void refund(double amount, Instant now);
 
     /// Changes rate and burst. What is in the bucket stays, up to the new burst: changing a rate hands nothing out.
     void setRate(double rate, double burst, Instant now);
--- a/src/libradishswitch/budgets/ledger.h
+++ b/src/libradishswitch/budgets/ledger.h
@@ -81,7 +81,7 @@
     TimerService &m_timers;
     RandomSource &m_random;
     LedgerSettings m_settings;
-    StoreCallBudget m_calls;
+    StoreCallLimiter m_calls;
     AwayCallback m_onAway;
     RoundCallback m_onRound;
     absl::flat_hash_map<std::uint32_t, std::unique_ptr<ShardWriter>> m_writers;
--- a/src/libradishswitch/budgets/shardcollector.h
+++ b/src/libradishswitch/budgets/shardcollector.h
@@ -2,7 +2,7 @@
 
 #include "agents/agentport.h"
 #include "base/backoff.h"
-#include "base/lifetoken.h"
+#include "base/lifetimetoken.h"
 #include "base/randomsource.h"
 #include "base/timerservice.h"
 
@@ -87,7 +87,7 @@
     /// Set once requests went on; agents that join later do not hold them up again.
     bool m_isReleased = false;
     TimerId m_holdTimer = 0;
-    LifeToken m_life;
+    LifetimeToken m_life;
 };
 
 }
--- a/src/libradishswitch/budgets/shardwriter.h
+++ b/src/libradishswitch/budgets/shardwriter.h
@@ -2,7 +2,7 @@
 
 #include "base/objectstore.h"
 #include "base/randomsource.h"
-#include "base/storecallbudget.h"
+#include "base/storecalllimiter.h"
 #include "budgets/ledgerchange.h"
 #include "budgets/ledgersettings.h"
 
@@ -27,7 +27,7 @@
     ObjectStore &store;
     TimerService &timers;
     RandomSource &random;
-    StoreCallBudget &calls;
+    StoreCallLimiter &calls;
 };
 
 /// Brings the changes of one shard into the store: all that wait go into one conditional update.
--- a/src/libradishswitch/limits/ceilingmeter.cpp
+++ b/src/libradishswitch/limits/ceilingmeter.cpp
@@ -104,7 +104,7 @@
     }
     Meter &meter = it->second;
     meter.running = std::max<std::int64_t>(0, meter.running - 1);
-    meter.tokens.giveBack(static_cast<double>(std::max<std::int64_t>(0, tokens - used)), now);
+    meter.tokens.refund(static_cast<double>(std::max<std::int64_t>(0, tokens - used)), now);
     meter.meanRun += (ran - meter.meanRun) / kMeanRunWeight;
 }
 
--- a/src/libradishswitch/membership/fleetmembership.cpp
+++ b/src/libradishswitch/membership/fleetmembership.cpp
@@ -13,14 +13,14 @@
 {
 
 // The live entries of all regions are kept under the empty name.
-const std::string kEverywhere;
+const std::string kAllRegions;
 
 }
 
 FleetMembership::FleetMembership(TaskQueue &tasks, Instant now, MembershipSettings settings)
     : m_tasks(tasks)
     , m_settings(settings)
-    , m_begin(now)
+    , m_listeningSince(now)
 {
 }
 
@@ -35,13 +35,13 @@
         return false;
     }
     state->member = member;
-    state->lastHeard = now;
-    state->isLost = false;
+    state->lastHeartbeatAt = now;
+    state->isUnreachable = false;
     if (isNew) {
-        state->firstHeard = now;
-        state->isSuccessor = supersedeOthers(member);
+        state->firstHeartbeatAt = now;
+        state->isRestart = supersedeEarlier(member);
     }
-    if (isNew || state->isLive != shouldLive(*state, now)) {
+    if (isNew || state->isLive != isConsideredLive(*state, now)) {
         refresh(now);
     }
     return true;
@@ -63,19 +63,19 @@
     refresh(now);
 }
 
-void FleetMembership::noteLost(const IncarnationId &incarnation, Instant now)
+void FleetMembership::markUnreachable(const IncarnationId &incarnation, Instant now)
 {
     const auto it = m_members.find(incarnation);
     if (it != m_members.end()) {
-        it->second->isLost = true;
+        it->second->isUnreachable = true;
         refresh(now);
     }
 }
 
-void FleetMembership::advance(Instant now)
+void FleetMembership::updateLiveness(Instant now)
 {
     absl::erase_if(m_members, [&](const auto &entry) {
-        return !entry.second->isLive && now - entry.second->lastHeard >= m_settings.unknownDeadAfter;
+        return !entry.second->isLive && now - entry.second->lastHeartbeatAt >= m_settings.unknownDeadAfter;
     });
     refresh(now);
 }
@@ -119,14 +119,14 @@
     const auto it = m_members.find(incarnation);
     const bool isKnown = it != m_members.end();
     if (isKnown && it->second->isSuperseded) {
-        return now - it->second->lastHeard >= m_settings.suspectAfter;
+        return now - it->second->lastHeartbeatAt >= m_settings.suspectAfter;
     }
     const std::string &place = isKnown ? it->second->member.address : address;
     const bool isListed = m_listings.contains(place);
     if (!isKnown && place.empty()) {
-        return now - m_begin >= m_settings.unknownDeadAfter;
+        return now - m_listeningSince >= m_settings.unknownDeadAfter;
     }
-    const Duration silence = now - (isKnown ? it->second->lastHeard : m_begin);
+    const Duration silence = now - (isKnown ? it->second->lastHeartbeatAt : m_listeningSince);
     switch (m_settings.deathRule) {
     case DeathRule::SilentAndUnlisted:
         return silence >= m_settings.deadAfter && !isListed;
@@ -142,7 +142,7 @@
 {
     const std::uint64_t key = rendezvousHash(zone);
     std::vector<LiveEntry> entries;
-    std::ranges::copy_if(liveOf(kEverywhere), std::back_inserter(entries), [&](const LiveEntry &entry) {
+    std::ranges::copy_if(liveOf(kAllRegions), std::back_inserter(entries), [&](const LiveEntry &entry) {
         return entry.state->member.zone == zone;
     });
     std::ranges::sort(entries, std::greater<>(), [key](const LiveEntry &entry) {
@@ -185,12 +185,12 @@
     m_subscribers.push_back(std::move(callback));
 }
 
-bool FleetMembership::shouldLive(const MemberState &state, Instant now) const
+bool FleetMembership::isConsideredLive(const MemberState &state, Instant now) const
 {
-    if (state.isLost || state.isSuperseded || state.member.isLeaving) {
+    if (state.isUnreachable || state.isSuperseded || state.member.isLeaving) {
         return false;
     }
-    return !isListedAsLeaving(state, now) && now - state.lastHeard < m_settings.suspectAfter;
+    return !isListedAsLeaving(state, now) && now - state.lastHeartbeatAt < m_settings.suspectAfter;
 }
 
 bool FleetMembership::isListedAsLeaving(const MemberState &state, Instant now) const
@@ -200,28 +200,28 @@
         return false;
     }
     // After a restart at the same address a list that lags still shows the earlier incarnation's leaving.
-    const bool isOldWord = state.isSuccessor && it->second.leavingSince <= state.firstHeard;
-    return !isOldWord || now - state.firstHeard >= m_settings.listLag;
+    const bool isStaleLeaving = state.isRestart && it->second.leavingSince <= state.firstHeartbeatAt;
+    return !isStaleLeaving || now - state.firstHeartbeatAt >= m_settings.listLag;
 }
 
-bool FleetMembership::supersedeOthers(const EntryMember &member)
+bool FleetMembership::supersedeEarlier(const EntryMember &member)
 {
     // Two processes can't listen at one address: a fresh incarnation there proves that the earlier one has ended.
-    bool isAny = false;
+    bool hasSuperseded = false;
     for (auto &[incarnation, state] : m_members) {
         if (incarnation != member.incarnation && state->member.address == member.address) {
             state->isSuperseded = true;
-            isAny = true;
+            hasSuperseded = true;
         }
     }
-    return isAny;
+    return hasSuperseded;
 }
 
 void FleetMembership::refresh(Instant now)
 {
     bool isChanged = false;
     for (auto &[incarnation, state] : m_members) {
-        const bool isLive = shouldLive(*state, now);
+        const bool isLive = isConsideredLive(*state, now);
         isChanged = isChanged || isLive != state->isLive;
         state->isLive = isLive;
     }
@@ -240,7 +240,7 @@
     for (const auto &[incarnation, state] : m_members) {
         if (state->isLive) {
             m_live[state->member.region].push_back({state->hash, state.get()});
-            m_live[kEverywhere].push_back({state->hash, state.get()});
+            m_live[kAllRegions].push_back({state->hash, state.get()});
         }
     }
     for (auto &[region, entries] : m_live) {
@@ -252,9 +252,9 @@
 
 const std::vector<FleetMembership::LiveEntry> &FleetMembership::liveOf(const std::string &region) const
 {
-    static const std::vector<LiveEntry> kNone;
+    static const std::vector<LiveEntry> kNoEntries;
     const auto it = m_live.find(region);
-    return it == m_live.end() ? kNone : it->second;
+    return it == m_live.end() ? kNoEntries : it->second;
 }
 
 }
--- a/src/libradishswitch/membership/fleetmembership.h
+++ b/src/libradishswitch/membership/fleetmembership.h
@@ -56,10 +56,10 @@
     void applyUnlisted(const std::string &address, Instant now);
 
     /// The connection to the entry broke or went silent. Holds until its next heartbeat.
-    void noteLost(const IncarnationId &incarnation, Instant now);
+    void markUnreachable(const IncarnationId &incarnation, Instant now);
 
     /// Finds members that have become silent. Call it several times a second.
-    void advance(Instant now);
+    void updateLiveness(Instant now);
 
     /// The entries that are heard from and not leaving, in the order of their addresses. An empty region gives all.
     std::vector<EntryMember> liveEntries(const std::string &region) const;
@@ -92,11 +92,11 @@
     struct MemberState {
         EntryMember member;
         std::uint64_t hash = 0;
-        Instant firstHeard{};
-        Instant lastHeard{};
+        Instant firstHeartbeatAt{};
+        Instant lastHeartbeatAt{};
         /// Whether an earlier incarnation was heard at its address.
-        bool isSuccessor = false;
-        bool isLost = false;
+        bool isRestart = false;
+        bool isUnreachable = false;
         bool isSuperseded = false;
         bool isLive = false;
     };
@@ -111,9 +111,9 @@
         const MemberState *state = nullptr;
     };
 
-    bool shouldLive(const MemberState &state, Instant now) const;
+    bool isConsideredLive(const MemberState &state, Instant now) const;
     /// Gives whether there were any.
-    bool supersedeOthers(const EntryMember &member);
+    bool supersedeEarlier(const EntryMember &member);
     bool isListedAsLeaving(const MemberState &state, Instant now) const;
     void refresh(Instant now);
     void rebuild();
@@ -121,7 +121,7 @@
 
     TaskQueue &m_tasks;
     const MembershipSettings m_settings;
-    const Instant m_begin;
+    const Instant m_listeningSince;
     absl::flat_hash_map<IncarnationId, std::unique_ptr<MemberState>> m_members;
     absl::flat_hash_map<std::string, Listing> m_listings;
     absl::flat_hash_map<std::string, std::vector<LiveEntry>> m_live;
--- a/src/libradishswitch/membership/leaseholder.cpp
+++ b/src/libradishswitch/membership/leaseholder.cpp
@@ -14,7 +14,7 @@
     : m_store(store)
     , m_timers(timers)
     , m_key(std::move(key))
-    , m_me(std::move(me))
+    , m_ownIncarnation(std::move(me))
     , m_settings(settings)
     , m_self(std::make_shared<LeaseHolder *>(this))
 {
@@ -28,7 +28,7 @@
 
 void LeaseHolder::start()
 {
-    m_timer = m_timers.every(m_settings.renewEvery, [this] {
+    m_timer = m_timers.every(m_settings.renewInterval, [this] {
         read();
     });
     read();
@@ -46,8 +46,8 @@
 
 std::optional<std::uint64_t> LeaseHolder::fence() const
 {
-    const auto trusted =
-        Duration(static_cast<Duration::rep>(static_cast<double>(m_settings.leaseFor.count()) * m_settings.trustedPart));
+    const auto trusted = Duration(
+        static_cast<Duration::rep>(static_cast<double>(m_settings.leaseDuration.count()) * m_settings.trustedShare));
     if (m_fence == 0 || m_timers.now() - m_confirmedAt >= trusted) {
         return std::nullopt;
     }
@@ -80,29 +80,29 @@
     }
     m_store.get(m_key, [self = m_self](absl::StatusOr<StoredObject> object) {
         if (*self != nullptr) {
-            (*self)->takeRead(object);
+            (*self)->handleRead(object);
         }
     });
 }
 
-void LeaseHolder::takeRead(const absl::StatusOr<StoredObject> &object)
+void LeaseHolder::handleRead(const absl::StatusOr<StoredObject> &object)
 {
     m_isBusy = false;
     if (!object.ok()) {
         if (failureCode(object.status()) == FailureCode::ObjectMissing && !m_isReleasing) {
-            write(Lease{m_me.value(), 1, 0}, 0);
+            write(Lease{m_ownIncarnation.value(), 1, 0}, 0);
         }
         return;
     }
     const absl::StatusOr<Lease> lease = parse(object->value);
     if (lease.ok()) {
-        takeLease(*object, *lease);
+        handleLease(*object, *lease);
     }
 }
 
-void LeaseHolder::takeLease(const StoredObject &object, const Lease &lease)
+void LeaseHolder::handleLease(const StoredObject &object, const Lease &lease)
 {
-    const bool isMine = lease.holder == m_me.value();
+    const bool isMine = lease.holder == m_ownIncarnation.value();
     if (m_isReleasing) {
         if (isMine) {
             write(Lease{"", lease.fence, lease.renewals}, object.version);
@@ -116,8 +116,8 @@
         return;
     }
     m_fence = 0;
-    if (lease.holder.empty() || isRivalSilent(object.version)) {
-        write(Lease{m_me.value(), lease.fence + 1, 0}, object.version);
+    if (lease.holder.empty() || isRivalExpired(object.version)) {
+        write(Lease{m_ownIncarnation.value(), lease.fence + 1, 0}, object.version);
     }
 }
 
@@ -127,30 +127,30 @@
     const std::string value = serialize(lease);
     m_store.put(
         m_key, value, version,
-        [self = m_self, lease = std::move(lease), asked = m_timers.now()](absl::StatusOr<std::uint64_t> written) {
+        [self = m_self, lease = std::move(lease), requestedAt = m_timers.now()](absl::StatusOr<std::uint64_t> written) {
             if (*self != nullptr) {
-                (*self)->takeWritten(written, lease, asked);
+                (*self)->handleWritten(written, lease, requestedAt);
             }
         });
 }
 
-void LeaseHolder::takeWritten(const absl::StatusOr<std::uint64_t> &version, const Lease &lease, Instant asked)
+void LeaseHolder::handleWritten(const absl::StatusOr<std::uint64_t> &version, const Lease &lease, Instant requestedAt)
 {
     m_isBusy = false;
-    if (version.ok() && !m_isReleasing && lease.holder == m_me.value()) {
+    if (version.ok() && !m_isReleasing && lease.holder == m_ownIncarnation.value()) {
         m_fence = lease.fence;
-        m_confirmedAt = asked;
+        m_confirmedAt = requestedAt;
     }
 }
 
-bool LeaseHolder::isRivalSilent(std::uint64_t version)
+bool LeaseHolder::isRivalExpired(std::uint64_t version)
 {
-    if (version != m_seenVersion) {
-        m_seenVersion = version;
-        m_seenAt = m_timers.now();
+    if (version != m_rivalVersion) {
+        m_rivalVersion = version;
+        m_rivalVersionSeenAt = m_timers.now();
         return false;
     }
-    return m_timers.now() - m_seenAt >= m_settings.leaseFor;
+    return m_timers.now() - m_rivalVersionSeenAt >= m_settings.leaseDuration;
 }
 
 }
--- a/src/libradishswitch/membership/leaseholder.h
+++ b/src/libradishswitch/membership/leaseholder.h
@@ -14,18 +14,18 @@
 
 struct LeaseSettings {
     /// A rival takes a lease over that it has seen unchanged for as long.
-    Duration leaseFor = std::chrono::seconds(10);
-    Duration renewEvery = std::chrono::seconds(3);
-    /// The holder trusts its lease up to this part of `leaseFor` after it began the last renewal that went well.
-    double trustedPart = 0.6;
+    Duration leaseDuration = std::chrono::seconds(10);
+    Duration renewInterval = std::chrono::seconds(3);
+    /// The holder trusts its lease up to this part of `leaseDuration` after it began the last renewal that went well.
+    double trustedShare = 0.6;
 };
 
 /// A lease on an object of the store, with a fencing number that grows with each change of holder.
 ///
 /// No clocks are compared: a rival waits on its own clock from the moment at which it saw the lease change, and the
-/// holder counts on its own from before it asked for the change, so the holder stops first. A holder that is paused
-/// between asking for its fence and using it is not stopped by that; the receivers of its orders refuse the fence
-/// (OrderGate).
+/// holder counts on its own from before it asked for the change, so the holder stops first. A holder that is
+/// paused between asking for its fence and using it is not stopped by that; the receivers of its orders refuse the
+/// fence (OrderGate).
 ///
 /// The store's answers must come under the same lock as the calls. All calls between `start` and `release` keep one
 /// timer and at most one call to the store under way.
@@ -60,24 +60,24 @@
     static std::string serialize(const Lease &lease);
 
     void read();
-    void takeRead(const absl::StatusOr<StoredObject> &object);
-    void takeLease(const StoredObject &object, const Lease &lease);
+    void handleRead(const absl::StatusOr<StoredObject> &object);
+    void handleLease(const StoredObject &object, const Lease &lease);
     void write(Lease lease, std::uint64_t version);
-    void takeWritten(const absl::StatusOr<std::uint64_t> &version, const Lease &lease, Instant asked);
-    bool isRivalSilent(std::uint64_t version);
+    void handleWritten(const absl::StatusOr<std::uint64_t> &version, const Lease &lease, Instant requestedAt);
+    bool isRivalExpired(std::uint64_t version);
 
     ObjectStore &m_store;
     TimerService &m_timers;
     const std::string m_key;
-    const IncarnationId m_me;
+    const IncarnationId m_ownIncarnation;
     const LeaseSettings m_settings;
     TimerId m_timer = 0;
     bool m_isBusy = false;
     bool m_isReleasing = false;
     std::uint64_t m_fence = 0;
     Instant m_confirmedAt{};
-    std::uint64_t m_seenVersion = 0;
-    Instant m_seenAt{};
+    std::uint64_t m_rivalVersion = 0;
+    Instant m_rivalVersionSeenAt{};
     /// Answers that come after this object's end find it empty.
     std::shared_ptr<LeaseHolder *> m_self;
 };
--- a/src/libradishswitch/requests/admissionpipeline.h
+++ b/src/libradishswitch/requests/admissionpipeline.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "base/lifetoken.h"
+#include "base/lifetimetoken.h"
 #include "budgets/reservationport.h"
 #include "requests/admissionwaiters.h"
 #include "requests/claimbook.h"
@@ -62,7 +62,7 @@
     const std::chrono::milliseconds m_retryAfter;
     const FinishedCallback m_finished;
     std::map<RequestId, Opening> m_openings;
-    LifeToken m_life;
+    LifetimeToken m_life;
 };
 
 }
--- a/src/libradishswitch/requests/admissionwaiters.h
+++ b/src/libradishswitch/requests/admissionwaiters.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "base/lifetoken.h"
+#include "base/lifetimetoken.h"
 #include "base/timerservice.h"
 #include "requests/admission.h"
 
@@ -48,7 +48,7 @@
 
     TimerService &m_timers;
     std::map<RequestId, std::vector<Waiter>> m_waiters;
-    LifeToken m_life;
+    LifetimeToken m_life;
 };
 
 }
--- a/src/libradishswitch/requests/claimbook.h
+++ b/src/libradishswitch/requests/claimbook.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/backoff.h"
-#include "base/lifetoken.h"
+#include "base/lifetimetoken.h"
 #include "base/objectstore.h"
 #include "base/randomsource.h"
 #include "base/timerservice.h"
@@ -126,7 +126,7 @@
     RandomSource &m_random;
     const ClaimBookSettings m_settings;
     std::map<std::uint32_t, Book> m_books;
-    LifeToken m_life;
+    LifetimeToken m_life;
 };
 
 }
--- a/src/libradishswitch/requests/grantedrequests.cpp
+++ b/src/libradishswitch/requests/grantedrequests.cpp
@@ -145,7 +145,7 @@
     }
     m_roster.refresh();
     std::vector<Dispatch> places;
-    for (const std::string &address : m_roster.since(known.grantedAt)) {
+    for (const std::string &address : m_roster.presentSince(known.grantedAt)) {
         places.push_back({known.grantedAttempt, address});
     }
     return places;
--- a/src/libradishswitch/requests/home.h
+++ b/src/libradishswitch/requests/home.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "agents/agentport.h"
-#include "base/lifetoken.h"
+#include "base/lifetimetoken.h"
 #include "base/objectstore.h"
 #include "base/randomsource.h"
 #include "base/taskqueue.h"
@@ -141,7 +141,7 @@
     bool m_isHandedOver = false;
     std::function<void()> m_stopped;
     TimerId m_tickTimer = 0;
-    LifeToken m_life;
+    LifetimeToken m_life;
 };
 
 }
--- a/src/libradishswitch/requests/keyownership.h
+++ b/src/libradishswitch/requests/keyownership.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/backoff.h"
-#include "base/lifetoken.h"
+#include "base/lifetimetoken.h"
 #include "base/objectstore.h"
 #include "base/randomsource.h"
 #include "base/timerservice.h"
@@ -145,7 +145,7 @@
     Backoff m_backoff;
     TimerId m_listTimer = 0;
     TimerId m_checkTimer = 0;
-    LifeToken m_life;
+    LifetimeToken m_life;
 };
 
 }
--- a/src/libradishswitch/requests/keyshards.h
+++ b/src/libradishswitch/requests/keyshards.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "agents/agentport.h"
-#include "base/lifetoken.h"
+#include "base/lifetimetoken.h"
 #include "base/randomsource.h"
 #include "base/timerservice.h"
 #include "budgets/shardcollector.h"
@@ -82,7 +82,7 @@
     const ShardCollectorSettings m_collectorSettings;
     const Events m_events;
     std::map<std::uint32_t, Shard> m_shards;
-    LifeToken m_life;
+    LifetimeToken m_life;
     KeyOwnership m_ownership;
 };
 
--- a/src/libradishswitch/requests/refusalproof.h
+++ b/src/libradishswitch/requests/refusalproof.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "base/lifetoken.h"
+#include "base/lifetimetoken.h"
 #include "base/timerservice.h"
 #include "requests/keyownership.h"
 
@@ -30,7 +30,7 @@
     KeyOwnership &m_ownership;
     TimerService &m_timers;
     const Duration m_limit;
-    LifeToken m_life;
+    LifetimeToken m_life;
 };
 
 }
--- a/src/libradishswitch/requests/runresolver.h
+++ b/src/libradishswitch/requests/runresolver.h
@@ -2,7 +2,7 @@
 
 #include "agents/agentport.h"
 #include "base/backoff.h"
-#include "base/lifetoken.h"
+#include "base/lifetimetoken.h"
 #include "base/randomsource.h"
 #include "base/timerservice.h"
 #include "requests/requestregistry.h"
@@ -90,7 +90,7 @@
     RunVerdict m_verdict;
     bool m_hasEnded = false;
     bool m_isStuck = false;
-    LifeToken m_life;
+    LifetimeToken m_life;
 };
 
 }
--- a/src/libradishswitch/routing/defaultpolicy.cpp
+++ b/src/libradishswitch/routing/defaultpolicy.cpp
@@ -16,51 +16,52 @@
 
 std::optional<EndpointSlot> DefaultPolicy::choose(const RouteCandidates &candidates)
 {
-    WeighedList weighed = weighNext(candidates);
-    if (weighed.empty()) {
-        weighed = weighAll(candidates);
+    ScoredEndpoints scored = scoreNext(candidates);
+    if (scored.empty()) {
+        scored = scoreAll(candidates);
     }
-    if (weighed.empty()) {
+    if (scored.empty()) {
         return std::nullopt;
     }
-    addAffine(candidates, weighed);
-    return firstAsGoodAsBest(weighed);
+    addCacheHolders(candidates, scored);
+    return firstEquivalentToBest(scored);
 }
 
-DefaultPolicy::Weighed DefaultPolicy::weigh(const RouteCandidates &candidates, EndpointSlot slot)
+DefaultPolicy::ScoredEndpoint DefaultPolicy::score(const RouteCandidates &candidates, EndpointSlot slot)
 {
     const LoadEstimate load = candidates.load(slot);
     return {slot, candidates.cost(slot, load), load.utilisation};
 }
 
-DefaultPolicy::WeighedList DefaultPolicy::weighNext(const RouteCandidates &candidates)
+DefaultPolicy::ScoredEndpoints DefaultPolicy::scoreNext(const RouteCandidates &candidates)
 {
     const std::size_t n = candidates.slots.size();
-    const std::size_t looks = std::min(n, candidates.settings.maximumDraws);
+    const std::size_t scanLimit = std::min(n, candidates.settings.maximumScanned);
     // Each process begins elsewhere; else the first requests of all of them would meet at the same endpoint.
-    if (!std::exchange(m_hasTurn, true)) {
-        m_turn = candidates.random.below(n);
+    if (!std::exchange(m_hasCursor, true)) {
+        m_cursor = candidates.random.below(n);
     }
-    ++m_turn;
-    WeighedList weighed;
-    for (std::size_t i = 0; i < looks && weighed.size() < candidates.settings.draws; ++i) {
-        const EndpointSlot slot = candidates.slots[(m_turn + i) % n];
+    ++m_cursor;
+    ScoredEndpoints scored;
+    for (std::size_t i = 0; i < scanLimit && scored.size() < candidates.settings.sampleSize; ++i) {
+        const EndpointSlot slot = candidates.slots[(m_cursor + i) % n];
         if (candidates.isUsable(slot)) {
-            weighed.push_back(weigh(candidates, slot));
+            scored.push_back(score(candidates, slot));
         }
     }
-    return dropSlowStarters(candidates, std::move(weighed));
+    return dropSlowStarting(candidates, std::move(scored));
 }
 
-DefaultPolicy::WeighedList DefaultPolicy::dropSlowStarters(const RouteCandidates &candidates, WeighedList weighed)
+DefaultPolicy::ScoredEndpoints DefaultPolicy::dropSlowStarting(const RouteCandidates &candidates,
+                                                               ScoredEndpoints scored)
 {
     // Measured against the most settled one, so that endpoints that all started together all get work.
     double most = 0;
-    for (const Weighed &it : weighed) {
+    for (const ScoredEndpoint &it : scored) {
         most = std::max(most, candidates.slowStartShare(it.slot));
     }
-    WeighedList kept;
-    for (const Weighed &it : weighed) {
+    ScoredEndpoints kept;
+    for (const ScoredEndpoint &it : scored) {
         const double share = candidates.slowStartShare(it.slot);
         if (share >= most || candidates.random.fraction() * most < share) {
             kept.push_back(it);
@@ -69,48 +70,49 @@
     return kept;
 }
 
-DefaultPolicy::WeighedList DefaultPolicy::weighAll(const RouteCandidates &candidates)
+DefaultPolicy::ScoredEndpoints DefaultPolicy::scoreAll(const RouteCandidates &candidates)
 {
-    WeighedList weighed;
+    ScoredEndpoints scored;
     for (const EndpointSlot slot : candidates.slots) {
         if (candidates.isUsable(slot)) {
-            weighed.push_back(weigh(candidates, slot));
+            scored.push_back(score(candidates, slot));
         }
     }
-    return weighed;
+    return scored;
 }
 
-void DefaultPolicy::addAffine(const RouteCandidates &candidates, WeighedList &weighed)
+void DefaultPolicy::addCacheHolders(const RouteCandidates &candidates, ScoredEndpoints &scored)
 {
     const RoutingSettings &settings = candidates.settings;
     double utilisation = 0;
-    for (const Weighed &it : weighed) {
-        utilisation += it.utilisation / static_cast<double>(weighed.size());
+    for (const ScoredEndpoint &it : scored) {
+        utilisation += it.utilisation / static_cast<double>(scored.size());
     }
-    for (const EndpointSlot slot : candidates.hints.holders(candidates.query.prefixHashes, settings.affineCandidates)) {
+    for (const EndpointSlot slot :
+         candidates.hints.holders(candidates.query.prefixHashes, settings.maximumCacheHolders)) {
         const bool isCandidate = std::ranges::binary_search(candidates.slots, slot);
         if (!isCandidate || !candidates.isUsable(slot)) {
             continue;
         }
         // A prefix that everybody shares would gather everybody at the endpoint that saw it first.
-        const Weighed affine = weigh(candidates, slot);
+        const ScoredEndpoint holder = score(candidates, slot);
         const double oneRun = 1.0 / capacityOf(candidates.directory.state(slot).load, settings);
-        if (affine.utilisation <= settings.affinityBound * utilisation + oneRun) {
-            weighed.push_back(affine);
+        if (holder.utilisation <= settings.cacheHolderUtilisationFactor * utilisation + oneRun) {
+            scored.push_back(holder);
         }
     }
 }
 
-EndpointSlot DefaultPolicy::firstAsGoodAsBest(const WeighedList &weighed)
+EndpointSlot DefaultPolicy::firstEquivalentToBest(const ScoredEndpoints &scored)
 {
-    const Weighed &best = *std::ranges::min_element(weighed, {}, [](const Weighed &it) {
+    const ScoredEndpoint &best = *std::ranges::min_element(scored, {}, [](const ScoredEndpoint &it) {
         return it.cost.seconds();
     });
-    const auto first = std::ranges::find_if(weighed, [&best](const Weighed &it) {
+    const auto first = std::ranges::find_if(scored, [&best](const ScoredEndpoint &it) {
         return it.cost.knownSeconds <= best.cost.knownSeconds + kKnownTolerance
-            && it.cost.loadSeconds <= best.cost.loadSeconds + best.cost.uncertainty;
+            && it.cost.loadSeconds <= best.cost.loadSeconds + best.cost.uncertaintySeconds;
     });
-    return first == weighed.end() ? best.slot : first->slot;
+    return first == scored.end() ? best.slot : first->slot;
 }
 
 }
--- a/src/libradishswitch/routing/defaultpolicy.h
+++ b/src/libradishswitch/routing/defaultpolicy.h
@@ -26,23 +26,23 @@
     std::optional<EndpointSlot> choose(const RouteCandidates &candidates) override;
 
 private:
-    struct Weighed {
+    struct ScoredEndpoint {
         EndpointSlot slot = 0;
         RouteCost cost;
         double utilisation = 0;
     };
 
-    using WeighedList = absl::InlinedVector<Weighed, 8>;
+    using ScoredEndpoints = absl::InlinedVector<ScoredEndpoint, 8>;
 
-    static Weighed weigh(const RouteCandidates &candidates, EndpointSlot slot);
-    WeighedList weighNext(const RouteCandidates &candidates);
-    static WeighedList dropSlowStarters(const RouteCandidates &candidates, WeighedList weighed);
-    static WeighedList weighAll(const RouteCandidates &candidates);
-    static void addAffine(const RouteCandidates &candidates, WeighedList &weighed);
-    static EndpointSlot firstAsGoodAsBest(const WeighedList &weighed);
+    static ScoredEndpoint score(const RouteCandidates &candidates, EndpointSlot slot);
+    ScoredEndpoints scoreNext(const RouteCandidates &candidates);
+    static ScoredEndpoints dropSlowStarting(const RouteCandidates &candidates, ScoredEndpoints scored);
+    static ScoredEndpoints scoreAll(const RouteCandidates &candidates);
+    static void addCacheHolders(const RouteCandidates &candidates, ScoredEndpoints &scored);
+    static EndpointSlot firstEquivalentToBest(const ScoredEndpoints &scored);
 
-    bool m_hasTurn = false;
-    std::size_t m_turn = 0;
+    bool m_hasCursor = false;
+    std::size_t m_cursor = 0;
 };
 
 }
--- a/src/libradishswitch/routing/ejectionsettings.h
+++ b/src/libradishswitch/routing/ejectionsettings.h
@@ -8,15 +8,15 @@
 /// When an endpoint that fails is left out, and for how long.
 struct EjectionSettings {
     int consecutiveFailures = 5;
-    /// Share of failures in a window of `window`, with at least `windowRuns` runs.
+    /// Share of failures in a window of `window`, with at least `minimumWindowRuns` runs.
     double failureShare = 0.5;
-    int windowRuns = 10;
+    int minimumWindowRuns = 10;
     Duration window = std::chrono::seconds(10);
     /// The first ejection; each further one lasts twice as long, up to the longest.
     Duration firstEjection = std::chrono::seconds(3);
     Duration longestEjection = std::chrono::seconds(60);
     /// At most this share of a pool's endpoints is ejected at a time.
-    double ejectedShare = 0.5;
+    double maximumEjectedShare = 0.5;
 };
 
 }
--- a/src/libradishswitch/routing/endpointuse.h
+++ b/src/libradishswitch/routing/endpointactivity.h
@@ -11,7 +11,7 @@
 
 /// What this process itself has done with one endpoint: runs under way, runs that the last report can't know of, and
 /// how they went.
-class EndpointUse
+class EndpointActivity
 {
 public:
     void noteDispatched(Instant now);
@@ -36,7 +36,7 @@
     }
 
     /// How long runs have been waiting here without a first token coming from any of them; zero when none waits.
-    Duration withoutProgress(Instant now) const;
+    Duration stalledFor(Instant now) const;
 
     EndpointEjection &ejection()
     {
@@ -52,19 +52,19 @@
 
 private:
     /// A run more or a run less.
-    struct Change {
+    struct InFlightChange {
         Instant at;
         int difference = 0;
     };
 
-    void change(int difference, Instant now);
+    void recordChange(int difference, Instant now);
 
     int m_inFlight = 0;
     int m_awaitingFirstToken = 0;
     Instant m_progressAt{};
     Instant m_changedAt{};
-    Duration m_timeInRuns{};
-    std::deque<Change> m_changes;
+    Duration m_runTimeSinceEnd{};
+    std::deque<InFlightChange> m_changes;
     int m_changeSinceMeasured = 0;
     EndpointEjection m_ejection;
 };
--- a/src/libradishswitch/routing/endpointdirectory.cpp
+++ b/src/libradishswitch/routing/endpointdirectory.cpp
@@ -12,9 +12,9 @@
 {
 
 constexpr std::size_t kPastIncarnationsKept = 4;
-const std::vector<EndpointSlot> kNone;
+const std::vector<EndpointSlot> kNoSlots;
 
-bool isPast(const EndpointState &state, const IncarnationId &incarnation)
+bool isPastIncarnation(const EndpointState &state, const IncarnationId &incarnation)
 {
     return std::ranges::find(state.pastIncarnations, incarnation) != state.pastIncarnations.end();
 }
@@ -33,16 +33,16 @@
 
 bool EndpointDirectory::applyReport(const EndpointReport &report, Instant now)
 {
-    EndpointState &state = stateOf(report.endpoint);
-    if (isPast(state, report.incarnation)) {
+    EndpointState &state = findOrCreate(report.endpoint);
+    if (isPastIncarnation(state, report.incarnation)) {
         return false;
     }
-    if (!state.isHeard || state.incarnation != report.incarnation) {
+    if (!state.hasReported || state.incarnation != report.incarnation) {
         beginIncarnation(state, report, now);
     } else if (report.sequence <= state.sequence) {
         return false;
     }
-    takeReport(state, report, now);
+    storeReport(state, report, now);
     return true;
 }
 
@@ -54,7 +54,7 @@
     }
     EndpointState &state = *m_states[*slot];
     const Instant measuredAt = now - load.age;
-    if (!state.isHeard || measuredAt <= state.loadMeasuredAt) {
+    if (!state.hasReported || measuredAt <= state.loadMeasuredAt) {
         return;
     }
     state.load = load;
@@ -66,18 +66,18 @@
 
 void EndpointDirectory::applyListed(const ListedInstance &instance, Instant now)
 {
-    EndpointState &state = stateOf(instance.endpoint);
-    if (!state.isHeard) {
+    EndpointState &state = findOrCreate(instance.endpoint);
+    if (!state.hasReported) {
         state.address = instance.address;
         state.zone = instance.zone;
         state.region = instance.region;
-        setPlace(state, instance.pool, {});
+        setPoolAndModels(state, instance.pool, {});
     }
     // An endpoint that restarts under its old name is still "leaving" in a list that lags; believing that would keep
     // a fresh endpoint idle. An endpoint that says nothing itself but leaves for good is still marked after the lag.
-    const bool isOldWord = state.isListedAsLeaving && state.isHeard && !state.pastIncarnations.empty()
-        && now - state.firstHeard < m_settings.listLag;
-    if (!instance.isLeaving || !isOldWord) {
+    const bool isStaleLeaving = state.isListedAsLeaving && state.hasReported && !state.pastIncarnations.empty()
+        && now - state.firstReportAt < m_settings.listLag;
+    if (!instance.isLeaving || !isStaleLeaving) {
         state.isLeavingByList = instance.isLeaving;
     }
     state.isListed = true;
@@ -93,8 +93,8 @@
     EndpointState &state = *m_states[*slot];
     state.isListed = false;
     state.isListedAsLeaving = false;
-    if (standing(*slot, now) == EndpointStanding::NeverHeard) {
-        forget(*slot);
+    if (status(*slot, now) == EndpointStatus::NeverReported) {
+        removeEndpoint(*slot);
     }
 }
 
@@ -106,33 +106,33 @@
     }
 }
 
-void EndpointDirectory::forgetGone(Instant now)
+void EndpointDirectory::removeSilent(Instant now)
 {
     for (EndpointSlot slot = 0; slot < m_states.size(); ++slot) {
         const EndpointState *state = m_states[slot].get();
-        if (state != nullptr && state->isHeard && !state->isListed
-            && now - state->lastHeard >= m_settings.forgetAfter) {
-            forget(slot);
+        if (state != nullptr && state->hasReported && !state->isListed
+            && now - state->lastReportAt >= m_settings.removeAfter) {
+            removeEndpoint(slot);
         }
     }
 }
 
-EndpointStanding EndpointDirectory::standing(EndpointSlot slot, Instant now) const
+EndpointStatus EndpointDirectory::status(EndpointSlot slot, Instant now) const
 {
     const EndpointState &state = *m_states[slot];
-    if (!state.isHeard) {
-        return EndpointStanding::NeverHeard;
+    if (!state.hasReported) {
+        return EndpointStatus::NeverReported;
     }
     if (state.isLeavingByAgent || state.isLeavingByList) {
-        return EndpointStanding::Leaving;
+        return EndpointStatus::Leaving;
     }
     if (state.isConnectionLost) {
-        return EndpointStanding::ConnectionLost;
+        return EndpointStatus::ConnectionLost;
     }
-    if (now - state.lastHeard >= m_settings.suspectAfter) {
-        return EndpointStanding::Silent;
+    if (now - state.lastReportAt >= m_settings.suspectAfter) {
+        return EndpointStatus::Silent;
     }
-    return state.isHealthy ? EndpointStanding::Eligible : EndpointStanding::Unhealthy;
+    return state.isHealthy ? EndpointStatus::Eligible : EndpointStatus::Unhealthy;
 }
 
 const EndpointState *EndpointDirectory::find(const EndpointId &endpoint) const
@@ -151,7 +151,7 @@
 {
     const auto it = m_pools.find(pool);
     if (it == m_pools.end()) {
-        return kNone;
+        return kNoSlots;
     }
     if (model.empty()) {
         return it->second.all;
@@ -170,7 +170,7 @@
     return pools;
 }
 
-EndpointState &EndpointDirectory::stateOf(const EndpointId &endpoint)
+EndpointState &EndpointDirectory::findOrCreate(const EndpointId &endpoint)
 {
     const auto it = m_slots.find(endpoint);
     if (it != m_slots.end()) {
@@ -192,7 +192,7 @@
 
 void EndpointDirectory::beginIncarnation(EndpointState &state, const EndpointReport &report, Instant now)
 {
-    if (state.isHeard) {
+    if (state.hasReported) {
         state.pastIncarnations.push_back(state.incarnation);
         state.isLeavingByList = false;
     }
@@ -200,9 +200,9 @@
         state.pastIncarnations.erase(state.pastIncarnations.begin());
     }
     state.incarnation = report.incarnation;
-    state.isHeard = true;
-    state.firstHeard = now;
-    state.startedBy = now;
+    state.hasReported = true;
+    state.firstReportAt = now;
+    state.startedAtLatest = now;
     state.load = {};
     state.loadMeasuredAt = {};
     if (m_observer != nullptr) {
@@ -210,11 +210,11 @@
     }
 }
 
-void EndpointDirectory::takeReport(EndpointState &state, const EndpointReport &report, Instant now)
+void EndpointDirectory::storeReport(EndpointState &state, const EndpointReport &report, Instant now)
 {
     state.sequence = report.sequence;
     if (report.uptime) {
-        state.startedBy = std::min(state.startedBy, now - *report.uptime);
+        state.startedAtLatest = std::min(state.startedAtLatest, now - *report.uptime);
     }
     state.address = report.address;
     state.zone = report.zone;
@@ -223,16 +223,17 @@
     state.isLeavingByAgent = report.isLeaving;
     state.isHealthy = report.isHealthy;
     state.isConnectionLost = false;
-    state.lastHeard = now;
+    state.lastReportAt = now;
     state.load = report.load;
     state.loadMeasuredAt = now - report.load.age;
-    setPlace(state, report.pool, report.models);
+    setPoolAndModels(state, report.pool, report.models);
     if (m_observer != nullptr) {
         m_observer->endpointReported(m_slots.at(state.endpoint), report.cacheEvents, now);
     }
 }
 
-void EndpointDirectory::setPlace(EndpointState &state, const PoolId &pool, const std::vector<std::string> &models)
+void EndpointDirectory::setPoolAndModels(EndpointState &state, const PoolId &pool,
+                                         const std::vector<std::string> &models)
 {
     const bool isNew = state.pool.isEmpty();
     if (!isNew && state.pool == pool && state.models == models) {
@@ -269,7 +270,7 @@
     m_pools[pool] = std::move(index);
 }
 
-void EndpointDirectory::forget(EndpointSlot slot)
+void EndpointDirectory::removeEndpoint(EndpointSlot slot)
 {
     const PoolId pool = m_states[slot]->pool;
     m_slots.erase(m_states[slot]->endpoint);
@@ -277,7 +278,7 @@
     m_freeSlots.push_back(slot);
     rebuildIndex(pool);
     if (m_observer != nullptr) {
-        m_observer->endpointForgotten(slot);
+        m_observer->endpointRemoved(slot);
     }
 }
 
--- a/src/libradishswitch/routing/endpointdirectory.h
+++ b/src/libradishswitch/routing/endpointdirectory.h
@@ -22,7 +22,7 @@
     /// believed.
     Duration listLag = std::chrono::seconds(10);
     /// A silent endpoint that is not listed is forgotten after as long.
-    Duration forgetAfter = std::chrono::seconds(60);
+    Duration removeAfter = std::chrono::seconds(60);
 };
 
 /// The endpoints that this process knows, from three sources: the agent's word, its silence, the platform's list.
@@ -51,13 +51,13 @@
     void noteConnectionLost(const EndpointId &endpoint, Instant now);
 
     /// Forgets endpoints that have been silent for long and are not listed. Call it every few seconds.
-    void forgetGone(Instant now);
+    void removeSilent(Instant now);
 
-    EndpointStanding standing(EndpointSlot slot, Instant now) const;
+    EndpointStatus status(EndpointSlot slot, Instant now) const;
 
     bool isEligible(EndpointSlot slot, Instant now) const
     {
-        return standing(slot, now) == EndpointStanding::Eligible;
+        return status(slot, now) == EndpointStatus::Eligible;
     }
 
     const EndpointState &state(EndpointSlot slot) const
@@ -75,7 +75,7 @@
 
     std::vector<PoolId> pools() const;
 
-    /// One more than the greatest slot in use.
+    /// One more than the greatest slot in activity.
     std::size_t slotLimit() const
     {
         return m_states.size();
@@ -88,12 +88,12 @@
         absl::flat_hash_map<std::string, std::vector<EndpointSlot>> byModel;
     };
 
-    EndpointState &stateOf(const EndpointId &endpoint);
+    EndpointState &findOrCreate(const EndpointId &endpoint);
     void beginIncarnation(EndpointState &state, const EndpointReport &report, Instant now);
-    void takeReport(EndpointState &state, const EndpointReport &report, Instant now);
-    void setPlace(EndpointState &state, const PoolId &pool, const std::vector<std::string> &models);
+    void storeReport(EndpointState &state, const EndpointReport &report, Instant now);
+    void setPoolAndModels(EndpointState &state, const PoolId &pool, const std::vector<std::string> &models);
     void rebuildIndex(const PoolId &pool);
-    void forget(EndpointSlot slot);
+    void removeEndpoint(EndpointSlot slot);
 
     DirectorySettings m_settings;
     EndpointObserver *m_observer = nullptr;
--- a/src/libradishswitch/routing/endpointejection.cpp
+++ b/src/libradishswitch/routing/endpointejection.cpp
@@ -8,17 +8,17 @@
 
 bool EndpointEjection::isAllowed(Instant now) const
 {
-    return !m_isOut || (now >= m_ejectedUntil && !m_isProbing);
+    return !m_isTripped || (now >= m_ejectedUntil && !m_isProbing);
 }
 
 bool EndpointEjection::isEjected(Instant now) const
 {
-    return m_isOut && now < m_ejectedUntil;
+    return m_isTripped && now < m_ejectedUntil;
 }
 
 void EndpointEjection::noteDispatched(Instant now)
 {
-    m_isProbing = m_isOut && now >= m_ejectedUntil;
+    m_isProbing = m_isTripped && now >= m_ejectedUntil;
 }
 
 void EndpointEjection::noteSucceeded(const EjectionSettings &settings, Instant now)
@@ -28,8 +28,8 @@
     m_consecutiveFailures = 0;
     m_isProbing = false;
     // A success of a run from before the ejection says nothing about the endpoint now.
-    if (m_isOut && now >= m_ejectedUntil) {
-        m_isOut = false;
+    if (m_isTripped && now >= m_ejectedUntil) {
+        m_isTripped = false;
         m_windowRuns = 0;
         m_windowFailures = 0;
     }
@@ -46,20 +46,20 @@
     ++m_windowRuns;
     ++m_windowFailures;
     ++m_consecutiveFailures;
-    if (m_isOut) {
+    if (m_isTripped) {
         return std::exchange(m_isProbing, false);
     }
     const bool isShareReached =
-        m_windowRuns >= settings.windowRuns && m_windowFailures >= settings.failureShare * m_windowRuns;
+        m_windowRuns >= settings.minimumWindowRuns && m_windowFailures >= settings.failureShare * m_windowRuns;
     return m_consecutiveFailures >= settings.consecutiveFailures || isShareReached;
 }
 
 void EndpointEjection::eject(const EjectionSettings &settings, Instant now)
 {
-    constexpr int kMostDoublings = 10;
-    const Duration span = settings.firstEjection * (1 << std::min(m_ejections, kMostDoublings));
+    constexpr int kMaximumDoublings = 10;
+    const Duration span = settings.firstEjection * (1 << std::min(m_ejections, kMaximumDoublings));
     ++m_ejections;
-    m_isOut = true;
+    m_isTripped = true;
     m_isProbing = false;
     m_ejectedUntil = now + std::min(span, settings.longestEjection);
 }
--- a/src/libradishswitch/routing/endpointejection.h
+++ b/src/libradishswitch/routing/endpointejection.h
@@ -31,7 +31,7 @@
     int m_windowFailures = 0;
     Instant m_windowBegin{};
     int m_ejections = 0;
-    bool m_isOut = false;
+    bool m_isTripped = false;
     bool m_isProbing = false;
     Instant m_ejectedUntil{};
 };
--- a/src/libradishswitch/routing/endpointobserver.h
+++ b/src/libradishswitch/routing/endpointobserver.h
@@ -18,7 +18,7 @@
     virtual void endpointReported(EndpointSlot slot, const std::vector<CacheEvent> &events, Instant now) = 0;
 
     /// The endpoint is forgotten; its slot will be used again.
-    virtual void endpointForgotten(EndpointSlot slot) = 0;
+    virtual void endpointRemoved(EndpointSlot slot) = 0;
 };
 
 }
--- a/src/libradishswitch/routing/endpointstate.h
+++ b/src/libradishswitch/routing/endpointstate.h
@@ -13,9 +13,9 @@
 using EndpointSlot = std::uint32_t;
 
 /// Whether an endpoint may get new work, and if not, why.
-enum class EndpointStanding {
+enum class EndpointStatus {
     Eligible,
-    NeverHeard,
+    NeverReported,
     Silent,
     ConnectionLost,
     Leaving,
@@ -40,11 +40,11 @@
     EndpointLoad load;
     /// The moment at which the load was measured, by this process's clock.
     Instant loadMeasuredAt{};
-    Instant firstHeard{};
+    Instant firstReportAt{};
     /// Not before this life of the agent started, by this process's clock; the report's way here makes it later.
-    Instant startedBy{};
-    Instant lastHeard{};
-    bool isHeard = false;
+    Instant startedAtLatest{};
+    Instant lastReportAt{};
+    bool hasReported = false;
     bool isHealthy = true;
     bool isConnectionLost = false;
     bool isListed = false;
--- a/src/libradishswitch/routing/leastoutstandingpolicy.cpp
+++ b/src/libradishswitch/routing/leastoutstandingpolicy.cpp
@@ -7,10 +7,10 @@
 {
     const std::size_t n = candidates.slots.size();
     std::optional<EndpointSlot> best;
-    ++m_turn;
+    ++m_cursor;
     for (std::size_t i = 0; i < n; ++i) {
-        const EndpointSlot slot = candidates.slots[(m_turn + i) % n];
-        const bool isBetter = !best || candidates.uses[slot].inFlight() < candidates.uses[*best].inFlight();
+        const EndpointSlot slot = candidates.slots[(m_cursor + i) % n];
+        const bool isBetter = !best || candidates.activities[slot].inFlight() < candidates.activities[*best].inFlight();
         if (isBetter && candidates.isUsable(slot)) {
             best = slot;
         }
--- a/src/libradishswitch/routing/leastoutstandingpolicy.h
+++ b/src/libradishswitch/routing/leastoutstandingpolicy.h
@@ -19,7 +19,7 @@
     std::optional<EndpointSlot> choose(const RouteCandidates &candidates) override;
 
 private:
-    std::size_t m_turn = 0;
+    std::size_t m_cursor = 0;
 };
 
 }
--- a/src/libradishswitch/routing/poolorders.cpp
+++ b/src/libradishswitch/routing/poolorderplanner.cpp
@@ -1,4 +1,4 @@
-#include "routing/poolorders.h"
+#include "routing/poolorderplanner.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,7 +16,7 @@
 
 }
 
-PoolOrders::PoolOrders(PoolId pool, Instant now, OrderSettings settings)
+PoolOrderPlanner::PoolOrderPlanner(PoolId pool, Instant now, OrderSettings settings)
     : m_pool(std::move(pool))
     , m_settings(settings)
     , m_loads(settings.loadsPerSecond, 1, now)
@@ -24,52 +24,53 @@
     m_loads.take(1, now);
 }
 
-void PoolOrders::setWanted(const WantedPool &wanted)
+void PoolOrderPlanner::setDesired(const DesiredPool &wanted)
 {
-    m_wanted = wanted;
+    m_desired = wanted;
 }
 
-void PoolOrders::applyReported(const OrderedEndpoint &endpoint)
+void PoolOrderPlanner::applyReported(const ReportedEndpoint &endpoint)
 {
     Target &target = m_targets[endpoint.endpoint];
     target.reported = endpoint;
-    const std::optional<Wish> wish = wishFor(endpoint);
-    const bool isCarriedOut = !wish || wish->kind != target.order.kind || wish->name != target.order.name;
+    const std::optional<NextChange> nextChange = nextChangeFor(endpoint);
+    const bool isCarriedOut =
+        !nextChange || nextChange->kind != target.order.kind || nextChange->name != target.order.name;
     if (target.order.number != 0 && isCarriedOut) {
         target.order = {};
     }
 }
 
-void PoolOrders::forget(const EndpointId &endpoint)
+void PoolOrderPlanner::removeEndpoint(const EndpointId &endpoint)
 {
     m_targets.erase(endpoint);
 }
 
-std::vector<EndpointOrder> PoolOrders::next(std::uint64_t fence, Instant now)
+std::vector<EndpointOrder> PoolOrderPlanner::nextOrders(std::uint64_t fence, Instant now)
 {
     std::vector<EndpointOrder> orders;
     for (auto &[endpoint, target] : m_targets) {
-        const std::optional<Wish> wish = wishFor(target.reported);
-        if (!wish || isUnderWay(target, now) || target.reported.isChanging || now < target.notBefore) {
+        const std::optional<NextChange> nextChange = nextChangeFor(target.reported);
+        if (!nextChange || isUnderWay(target, now) || target.reported.isChanging || now < target.notBefore) {
             continue;
         }
-        if (wish->kind == OrderKind::SetVersion && !mayChangeVersion(target, now)) {
+        if (nextChange->kind == OrderKind::SetVersion && !canChangeVersion(target, now)) {
             continue;
         }
-        if (isLoad(wish->kind)) {
+        if (isLoad(nextChange->kind)) {
             if (m_loads.waitFor(1, now) > Duration::zero()) {
                 continue;
             }
             m_loads.take(1, now);
         }
-        target.order = {m_pool, endpoint, fence, ++m_number, wish->kind, wish->name};
+        target.order = {m_pool, endpoint, fence, ++m_lastNumber, nextChange->kind, nextChange->name};
         target.orderedAt = now;
         orders.push_back(target.order);
     }
     return orders;
 }
 
-void PoolOrders::noteFailed(const EndpointId &endpoint, Instant now)
+void PoolOrderPlanner::noteFailed(const EndpointId &endpoint, Instant now)
 {
     const auto it = m_targets.find(endpoint);
     if (it != m_targets.end()) {
@@ -78,48 +79,48 @@
     }
 }
 
-bool PoolOrders::isDone() const
+bool PoolOrderPlanner::isDone() const
 {
     return std::ranges::none_of(m_targets, [this](const auto &entry) {
-        return wishFor(entry.second.reported).has_value();
+        return nextChangeFor(entry.second.reported).has_value();
     });
 }
 
-std::optional<PoolOrders::Wish> PoolOrders::wishFor(const OrderedEndpoint &endpoint) const
+std::optional<PoolOrderPlanner::NextChange> PoolOrderPlanner::nextChangeFor(const ReportedEndpoint &endpoint) const
 {
-    if (!m_wanted.version.empty() && endpoint.version != m_wanted.version) {
-        return Wish{OrderKind::SetVersion, m_wanted.version};
+    if (!m_desired.version.empty() && endpoint.version != m_desired.version) {
+        return NextChange{OrderKind::SetVersion, m_desired.version};
     }
     // What is not wanted any more goes first: its memory may be needed.
     for (const std::string &adapter : endpoint.adapters) {
-        if (!contains(m_wanted.adapters, adapter)) {
-            return Wish{OrderKind::UnloadAdapter, adapter};
+        if (!contains(m_desired.adapters, adapter)) {
+            return NextChange{OrderKind::UnloadAdapter, adapter};
         }
     }
-    for (const std::string &adapter : m_wanted.adapters) {
+    for (const std::string &adapter : m_desired.adapters) {
         if (!contains(endpoint.adapters, adapter)) {
-            return Wish{OrderKind::LoadAdapter, adapter};
+            return NextChange{OrderKind::LoadAdapter, adapter};
         }
     }
     return std::nullopt;
 }
 
-bool PoolOrders::isUnderWay(const Target &target, Instant now) const
+bool PoolOrderPlanner::isUnderWay(const Target &target, Instant now) const
 {
     return target.order.number != 0 && now - target.orderedAt < m_settings.orderTimeout;
 }
 
-bool PoolOrders::isChanging(const Target &target, Instant now) const
+bool PoolOrderPlanner::isChanging(const Target &target, Instant now) const
 {
     return target.reported.isChanging || (isUnderWay(target, now) && target.order.kind == OrderKind::SetVersion);
 }
 
-bool PoolOrders::mayChangeVersion(const Target &target, Instant now) const
+bool PoolOrderPlanner::canChangeVersion(const Target &target, Instant now) const
 {
     const auto changing = static_cast<std::size_t>(std::ranges::count_if(m_targets, [&](const auto &entry) {
         return isChanging(entry.second, now);
     }));
-    if (changing >= m_settings.changingAtOnce) {
+    if (changing >= m_settings.maximumChanging) {
         return false;
     }
     // One that serves nothing anyway costs no capacity.
@@ -129,10 +130,10 @@
     const auto serving = std::ranges::count_if(m_targets, [&](const auto &entry) {
         return entry.second.reported.isEligible && !isChanging(entry.second, now);
     });
-    return static_cast<double>(serving - 1) >= m_settings.keptShare * static_cast<double>(m_targets.size());
+    return static_cast<double>(serving - 1) >= m_settings.minimumEligibleShare * static_cast<double>(m_targets.size());
 }
 
-bool PoolOrders::isLoad(OrderKind kind)
+bool PoolOrderPlanner::isLoad(OrderKind kind)
 {
     return kind == OrderKind::SetVersion || kind == OrderKind::LoadAdapter;
 }
--- a/src/libradishswitch/routing/poolrouter.h
+++ b/src/libradishswitch/routing/poolrouter.h
@@ -3,8 +3,8 @@
 #include "base/randomsource.h"
 #include "limits/poolroom.h"
 #include "routing/ejectionsettings.h"
+#include "routing/endpointactivity.h"
 #include "routing/endpointdirectory.h"
-#include "routing/endpointuse.h"
 #include "routing/prefixcachehints.h"
 #include "routing/routequery.h"
 #include "routing/routingpolicy.h"
@@ -55,7 +55,7 @@
     /// Which of the endpoints' slots are this process's own, when all are busy: it is number `rank`, from zero, of
     /// `count` processes that use the same endpoints. Each slot is the own slot of just one of them, so that together
     /// they do not flood endpoints whose reports are old.
-    void setPartOfCapacity(std::size_t rank, std::size_t count);
+    void setCapacityShare(std::size_t rank, std::size_t count);
 
     /// Endpoints of the pool that may get work, ejected ones included.
     std::size_t eligibleCount(const PoolId &pool, Instant now) const;
@@ -70,30 +70,30 @@
 private:
     void endpointStarted(EndpointSlot slot, Instant now) override;
     void endpointReported(EndpointSlot slot, const std::vector<CacheEvent> &events, Instant now) override;
-    void endpointForgotten(EndpointSlot slot) override;
+    void endpointRemoved(EndpointSlot slot) override;
 
     RoutingPolicy *policyOf(const PoolId &pool, const std::string &name);
     std::optional<EndpointSlot> chooseSlot(RoutingPolicy &policy, const RouteQuery &query, Instant now);
-    std::optional<EndpointSlot> chooseOwnRoom(RoutingPolicy &policy, const RouteCandidates &candidates) const;
-    void ejectUnlessFloor(EndpointSlot slot, Instant now);
-    void learnPoolLoad(EndpointSlot slot);
-    std::int64_t ownSlots(EndpointSlot slot) const;
+    std::optional<EndpointSlot> chooseFromOwnSlots(RoutingPolicy &policy, const RouteCandidates &candidates) const;
+    void ejectWithinLimit(EndpointSlot slot, Instant now);
+    void updatePoolLoad(EndpointSlot slot);
+    std::int64_t ownSlotCount(EndpointSlot slot) const;
     /// Own slots at the endpoint that have no run of this process.
-    std::int64_t ownRoom(EndpointSlot slot) const;
-    EndpointUse &useOf(EndpointSlot slot);
-    EndpointUse *useOf(const EndpointId &endpoint);
+    std::int64_t ownFreeSlots(EndpointSlot slot) const;
+    EndpointActivity &activityOf(EndpointSlot slot);
+    EndpointActivity *activityOf(const EndpointId &endpoint);
 
     EndpointDirectory &m_directory;
     RandomSource &m_random;
     const RoutingSettings m_routing;
     const EjectionSettings m_ejection;
     PrefixCacheHints m_hints;
-    std::vector<EndpointUse> m_uses;
+    std::vector<EndpointActivity> m_activities;
     absl::flat_hash_map<PoolId, std::unique_ptr<RoutingPolicy>> m_policies;
     absl::flat_hash_map<PoolId, PoolLoad> m_poolLoads;
-    std::size_t m_rank = 0;
-    std::size_t m_count = 1;
-    Instant m_latest{};
+    std::size_t m_processRank = 0;
+    std::size_t m_processCount = 1;
+    Instant m_latestTime{};
 };
 
 }
--- a/src/libradishswitch/routing/prefixcachehints.cpp
+++ b/src/libradishswitch/routing/prefixcachehints.cpp
@@ -10,7 +10,7 @@
 std::vector<std::uint64_t> prefixChainHashes(std::string_view model, std::string_view prompt)
 {
     std::vector<std::uint64_t> hashes;
-    const std::size_t n = std::min(prompt.size() / kPrefixBlockBytes, kPrefixBlocks);
+    const std::size_t n = std::min(prompt.size() / kPrefixBlockBytes, kMaximumPrefixBlocks);
     hashes.reserve(n);
     std::uint64_t chain = XXH3_64bits(model.data(), model.size());
     for (std::size_t i = 0; i < n; ++i) {
@@ -44,7 +44,7 @@
     }
 }
 
-void PrefixCacheHints::forget(EndpointSlot slot)
+void PrefixCacheHints::removeEndpoint(EndpointSlot slot)
 {
     dropAll(slot);
     hintsOf(slot).lastSequence = 0;
--- a/src/libradishswitch/routing/prefixcachehints.h
+++ b/src/libradishswitch/routing/prefixcachehints.h
@@ -15,9 +15,9 @@
 {
 
 /// Chain hashes of a prompt: one for each whole block of `kPrefixBlockBytes` bytes, each over the model's name and
-/// everything before, so that two prompts share a hash just when they share the prefix. At most `kPrefixBlocks`.
+/// everything before, so that two prompts share a hash just when they share the prefix. At most `kMaximumPrefixBlocks`.
 inline constexpr std::size_t kPrefixBlockBytes = 512;
-inline constexpr std::size_t kPrefixBlocks = 64;
+inline constexpr std::size_t kMaximumPrefixBlocks = 64;
 std::vector<std::uint64_t> prefixChainHashes(std::string_view model, std::string_view prompt);
 
 /// What the endpoints' prefix caches probably hold: from their cache events, which come late and with gaps, and from
@@ -35,7 +35,7 @@
     void noteDispatched(EndpointSlot slot, const std::vector<std::uint64_t> &hashes);
 
     /// Drops everything known of an endpoint, also where its event numbers stand.
-    void forget(EndpointSlot slot);
+    void removeEndpoint(EndpointSlot slot);
 
     /// How many of the prompt's leading blocks the endpoint probably holds.
     std::size_t cachedBlocks(EndpointSlot slot, const std::vector<std::uint64_t> &hashes) const;
--- a/src/libradishswitch/routing/roundrobinpolicy.h
+++ b/src/libradishswitch/routing/roundrobinpolicy.h
@@ -19,8 +19,8 @@
     std::optional<EndpointSlot> choose(const RouteCandidates &candidates) override;
 
 private:
-    bool m_hasTurn = false;
-    std::size_t m_turn = 0;
+    bool m_hasCursor = false;
+    std::size_t m_cursor = 0;
 };
 
 }
--- a/src/libradishswitch/routing/routecandidates.cpp
+++ b/src/libradishswitch/routing/routecandidates.cpp
@@ -10,10 +10,10 @@
     if (!directory.isEligible(slot, now)) {
         return false;
     }
-    if (strictness == Strictness::Usual && !uses[slot].ejection().isAllowed(now)) {
+    if (ejectedEndpoints == EjectedEndpoints::Excluded && !activities[slot].ejection().isAllowed(now)) {
         return false;
     }
-    if (directory.state(slot).startedBy > query.startedBefore) {
+    if (directory.state(slot).startedAtLatest > query.startedBefore) {
         return false;
     }
     return query.excluded.empty()
@@ -22,18 +22,18 @@
 
 LoadEstimate RouteCandidates::load(EndpointSlot slot) const
 {
-    return estimateLoad(directory.state(slot), uses[slot], poolLoad, settings, now);
+    return estimateLoad(directory.state(slot), activities[slot], poolLoad, settings, now);
 }
 
 RouteCost RouteCandidates::cost(EndpointSlot slot, const LoadEstimate &load) const
 {
     const std::size_t cached = hints.cachedBlocks(slot, query.prefixHashes);
-    return expectedFirstToken(directory.state(slot), uses[slot], load, cached, query, settings, now);
+    return expectedFirstToken(directory.state(slot), activities[slot], load, cached, query, settings, now);
 }
 
 double RouteCandidates::slowStartShare(EndpointSlot slot) const
 {
-    const Duration lived = now - uses[slot].startedAt;
+    const Duration lived = now - activities[slot].startedAt;
     if (lived >= settings.slowStart) {
         return 1;
     }
--- a/src/libradishswitch/routing/routecandidates.h
+++ b/src/libradishswitch/routing/routecandidates.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "base/randomsource.h"
+#include "routing/endpointactivity.h"
 #include "routing/endpointdirectory.h"
-#include "routing/endpointuse.h"
 #include "routing/prefixcachehints.h"
 #include "routing/routecost.h"
 
@@ -14,21 +14,21 @@
 /// What a policy sees of one decision: the endpoints that answer for the model, and what is known of them.
 struct RouteCandidates {
     /// How far to bend the rules on which endpoints are usable.
-    enum class Strictness {
-        Usual,
+    enum class EjectedEndpoints {
+        Excluded,
         /// Nothing usual is left: take ejected ones too, rather than have no endpoint at all.
-        AlsoEjected,
+        Included,
     };
 
     const RouteQuery &query;
     const std::vector<EndpointSlot> &slots;
     const EndpointDirectory &directory;
-    const std::vector<EndpointUse> &uses;
+    const std::vector<EndpointActivity> &activities;
     const PrefixCacheHints &hints;
     const PoolLoad &poolLoad;
     const RoutingSettings &settings;
     RandomSource &random;
-    Strictness strictness;
+    EjectedEndpoints ejectedEndpoints;
     Instant now;
 
     bool isUsable(EndpointSlot slot) const;
--- a/src/libradishswitch/routing/routecost.cpp
+++ b/src/libradishswitch/routing/routecost.cpp
@@ -16,7 +16,7 @@
     return static_cast<double>(span.count()) * 1e-6;
 }
 
-double distance(const EndpointState &state, const RouteQuery &query, const RoutingSettings &settings)
+double networkDelay(const EndpointState &state, const RouteQuery &query, const RoutingSettings &settings)
 {
     if (state.region != query.region) {
         return seconds(settings.regionDistance);
@@ -25,7 +25,7 @@
 }
 
 /// About the mean of what a normally distributed number has above zero.
-double positivePart(double mean, double variance)
+double expectedExcess(double mean, double variance)
 {
     constexpr double kShape = 0.64;
     return (mean + std::sqrt(mean * mean + kShape * variance)) / 2;
@@ -59,7 +59,7 @@
     return model.substr(0, model.find(kAdapterSeparator));
 }
 
-LoadEstimate estimateLoad(const EndpointState &state, const EndpointUse &use, const PoolLoad &pool,
+LoadEstimate estimateLoad(const EndpointState &state, const EndpointActivity &activity, const PoolLoad &pool,
                           const RoutingSettings &settings, Instant now)
 {
     const EndpointLoad &load = state.load;
@@ -69,39 +69,39 @@
 
     // Many processes read the same report. Were an old one believed, all of them would send to the endpoint that was
     // idle then, and it would be swamped until the next report; so what it says of others fades into the pool's mean.
-    const double trust = std::exp2(-age / seconds(settings.loadHalfLife));
-    const double others = std::max(0.0, reported - use.inFlightWhenMeasured());
+    const double reportWeight = std::exp2(-age / seconds(settings.loadHalfLife));
+    const double others = std::max(0.0, reported - activity.inFlightWhenMeasured());
     const double othersShare = 1 - pool.ownShare();
     const double othersMean = othersShare * pool.utilisation * capacity;
 
     LoadEstimate estimate;
-    estimate.runs = use.inFlight() + trust * others + (1 - trust) * othersMean;
+    estimate.runs = activity.inFlight() + reportWeight * others + (1 - reportWeight) * othersMean;
     estimate.utilisation = estimate.runs / capacity;
     // Others have started and ended runs there since; a few slots free by the report may be none by now.
     const double othersRuns = othersShare * std::min(pool.utilisation, 1.0) * capacity;
     const double variance = 2 * othersRuns * std::min(1.0, age / pool.runSeconds);
-    const double queued = positivePart(estimate.runs + 1 - capacity, variance);
+    const double queued = expectedExcess(estimate.runs + 1 - capacity, variance);
     estimate.seconds =
-        queued * pool.runSeconds / capacity + std::min(estimate.utilisation, 1.0) * seconds(settings.fullBatch);
+        queued * pool.runSeconds / capacity + std::min(estimate.utilisation, 1.0) * seconds(settings.fullBatchDelay);
     // Others start `utilisation * capacity / runSeconds` runs a second here, each of them good for
     // `runSeconds / capacity` seconds of queue.
-    estimate.uncertainty = settings.uncertaintyFactor * othersShare * std::min(pool.utilisation, 1.0) * age;
+    estimate.uncertaintySeconds = settings.uncertaintyFactor * othersShare * std::min(pool.utilisation, 1.0) * age;
     return estimate;
 }
 
-RouteCost expectedFirstToken(const EndpointState &state, const EndpointUse &use, const LoadEstimate &load,
+RouteCost expectedFirstToken(const EndpointState &state, const EndpointActivity &activity, const LoadEstimate &load,
                              std::size_t cachedBlocks, const RouteQuery &query, const RoutingSettings &settings,
                              Instant now)
 {
     RouteCost cost;
     cost.loadSeconds = load.seconds;
-    cost.uncertainty = load.uncertainty;
-    cost.knownSeconds = prefillSeconds(cachedBlocks, query, settings) + distance(state, query, settings);
+    cost.uncertaintySeconds = load.uncertaintySeconds;
+    cost.knownSeconds = prefillSeconds(cachedBlocks, query, settings) + networkDelay(state, query, settings);
     // An endpoint that accepts runs and never answers looks idle: its queue is short. What runs have been waiting for
     // there without any progress is the least that the next one should expect.
-    cost.knownSeconds += std::max(0.0, seconds(use.withoutProgress(now)) - load.seconds);
+    cost.knownSeconds += std::max(0.0, seconds(activity.stalledFor(now)) - load.seconds);
     if (isAdapterMissing(state, query.model)) {
-        cost.knownSeconds += seconds(settings.adapterLoad);
+        cost.knownSeconds += seconds(settings.adapterLoadTime);
     }
     return cost;
 }
--- a/src/libradishswitch/routing/routecost.h
+++ b/src/libradishswitch/routing/routecost.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "routing/endpointuse.h"
+#include "routing/endpointactivity.h"
 #include "routing/poolload.h"
 #include "routing/routequery.h"
 #include "routing/routingsettings.h"
@@ -17,17 +17,17 @@
     /// Expected seconds in the endpoint's queue and by the slowness of a full batch.
     double seconds = 0;
     /// Differences below this many seconds mean nothing: others may have sent as much there since the report.
-    double uncertainty = 0;
+    double uncertaintySeconds = 0;
 };
 
-LoadEstimate estimateLoad(const EndpointState &state, const EndpointUse &use, const PoolLoad &pool,
+LoadEstimate estimateLoad(const EndpointState &state, const EndpointActivity &activity, const PoolLoad &pool,
                           const RoutingSettings &settings, Instant now);
 
 /// Expected seconds from dispatch to the first token, in two parts: by load, which is estimated, and by what is known.
 struct RouteCost {
     double loadSeconds = 0;
     double knownSeconds = 0;
-    double uncertainty = 0;
+    double uncertaintySeconds = 0;
 
     double seconds() const
     {
@@ -36,7 +36,7 @@
 };
 
 /// `cachedBlocks` of the query's prefix hashes are thought to be in the endpoint's cache.
-RouteCost expectedFirstToken(const EndpointState &state, const EndpointUse &use, const LoadEstimate &load,
+RouteCost expectedFirstToken(const EndpointState &state, const EndpointActivity &activity, const LoadEstimate &load,
                              std::size_t cachedBlocks, const RouteQuery &query, const RoutingSettings &settings,
                              Instant now);
 
--- a/src/libradishswitch/routing/routingsettings.h
+++ b/src/libradishswitch/routing/routingsettings.h
@@ -11,20 +11,20 @@
 /// What the routing policies work with. Times are those that a request feels.
 struct RoutingSettings {
     /// Endpoints weighed for one decision of the default policy, besides those that hold most of the prompt.
-    std::size_t draws = 4;
+    std::size_t sampleSize = 4;
     /// Looked at to find as many that are usable.
-    std::size_t maximumDraws = 12;
+    std::size_t maximumScanned = 12;
     /// Endpoints that hold most of the prompt and are weighed besides those drawn.
-    std::size_t affineCandidates = 2;
+    std::size_t maximumCacheHolders = 2;
     /// An endpoint is not weighed for its cache alone when it is busier than this times the endpoints drawn.
-    double affinityBound = 1.25;
+    double cacheHolderUtilisationFactor = 1.25;
     /// Added for an endpoint of another availability zone, and of another region.
     Duration zoneDistance = std::chrono::milliseconds(2);
     Duration regionDistance = std::chrono::milliseconds(80);
     /// Added when the adapter has to be loaded first.
-    Duration adapterLoad = std::chrono::seconds(2);
+    Duration adapterLoadTime = std::chrono::seconds(2);
     /// Added, in proportion, for a full batch, which slows every step.
-    Duration fullBatch = std::chrono::milliseconds(100);
+    Duration fullBatchDelay = std::chrono::milliseconds(100);
     double prefillTokensPerSecond = 8000;
     /// Assumed of an endpoint that does not state its capacity.
     std::uint32_t capacity = 16;
@@ -33,7 +33,7 @@
     /// Loads count as equal within this times what others may have sent since the report.
     double uncertaintyFactor = 2;
     /// From this mean utilisation of the pool on, each process keeps to its own slots while it has any.
-    double fullFrom = 0.85;
+    double saturationUtilisation = 0.85;
     /// A new endpoint is weighed with growing probability over this span.
     Duration slowStart = std::chrono::seconds(10);
     double slowStartFloor = 0.1;
--- a/src/libradishswitch/serving/callplacement.cpp
+++ b/src/libradishswitch/serving/callplacement.cpp
@@ -319,7 +319,8 @@
     const auto ejected = std::ranges::count_if(slots, [&](EndpointSlot other) {
         return m_roster.at(other).ejection.isEjected(now);
     });
-    if (static_cast<double>(ejected + 1) <= m_settings.ejection.ejectedShare * static_cast<double>(slots.size())) {
+    if (static_cast<double>(ejected + 1)
+        <= m_settings.ejection.maximumEjectedShare * static_cast<double>(slots.size())) {
         m_roster.at(slot).ejection.eject(m_settings.ejection, now);
     }
 }
--- a/src/libradishswitch/serving/placementsettings.h
+++ b/src/libradishswitch/serving/placementsettings.h
@@ -33,11 +33,11 @@
     RefusalPauseSettings pause;
     EjectionSettings ejection{.consecutiveFailures = 3,
                               .failureShare = 0.3,
-                              .windowRuns = 8,
+                              .minimumWindowRuns = 8,
                               .window = std::chrono::seconds(5),
                               .firstEjection = std::chrono::seconds(2),
                               .longestEjection = std::chrono::seconds(8),
-                              .ejectedShare = 0.5};
+                              .maximumEjectedShare = 0.5};
 };
 
 }
--- a/src/libradishswitch/table/tableeditoperation.cpp
+++ b/src/libradishswitch/table/tableeditoperation.cpp
@@ -1,6 +1,6 @@
 #include "table/tableeditoperation.h"
 
-#include "base/boundedcall.h"
+#include "base/callbackwithtimeout.h"
 #include "base/failure.h"
 #include "table/rowconflict.h"
 #include "table/tablecheck.h"
@@ -98,9 +98,10 @@
 std::function<void(absl::StatusOr<T>)>
 TableEditOperation::guarded(void (TableEditOperation::*next)(const absl::StatusOr<T> &))
 {
-    return boundedCall<T>(m_timers, m_settings.callDeadline, [self = shared_from_this(), next](const auto &answer) {
-        (self.get()->*next)(answer);
-    });
+    return callbackWithTimeout<T>(m_timers, m_settings.callDeadline,
+                                  [self = shared_from_this(), next](const auto &answer) {
+                                      (self.get()->*next)(answer);
+                                  });
 }
 
 void TableEditOperation::start()
--- a/src/libradishswitch/table/tableeditor.cpp
+++ b/src/libradishswitch/table/tableeditor.cpp
@@ -1,6 +1,6 @@
 #include "table/tableeditor.h"
 
-#include "base/boundedcall.h"
+#include "base/callbackwithtimeout.h"
 #include "base/failure.h"
 #include "table/tableeditoperation.h"
 #include "table/tablehistory.h"
@@ -75,7 +75,7 @@
             callback(document);
         });
     };
-    m_store.get(kTableKey, boundedCall<StoredObject>(m_timers, m_settings.callDeadline, answer));
+    m_store.get(kTableKey, callbackWithTimeout<StoredObject>(m_timers, m_settings.callDeadline, answer));
 }
 
 void TableEditor::submit(TableEdit edit, std::function<void(absl::StatusOr<AuditRecord>)> callback)
--- a/src/libradishswitch/table/tablehistory.cpp
+++ b/src/libradishswitch/table/tablehistory.cpp
@@ -1,6 +1,6 @@
 #include "table/tablehistory.h"
 
-#include "base/boundedcall.h"
+#include "base/callbackwithtimeout.h"
 #include "base/failure.h"
 
 namespace RadishSwitch
@@ -45,11 +45,12 @@
 
 void readArchive(const std::shared_ptr<Walk> &walk, std::uint64_t firstRevision)
 {
-    walk->store.get(archiveKey(firstRevision),
-                    boundedCall<StoredObject>(walk->timers, walk->callDeadline,
-                                              [walk, firstRevision](const absl::StatusOr<StoredObject> &object) {
-                                                  takeArchive(walk, firstRevision, object);
-                                              }));
+    walk->store.get(
+        archiveKey(firstRevision),
+        callbackWithTimeout<StoredObject>(walk->timers, walk->callDeadline,
+                                          [walk, firstRevision](const absl::StatusOr<StoredObject> &object) {
+                                              takeArchive(walk, firstRevision, object);
+                                          }));
 }
 
 }
--- a/src/measure/spendtruth.cpp
+++ b/src/measure/spendtruth.cpp
@@ -126,7 +126,7 @@
 /// The load asks for nothing that is wrong in itself, so a refusal for that is the fleet's own trouble too.
 RefusalGround groundOf(const TryRecord &refusal)
 {
-    switch (failureOfName(refusal.code).value_or(FailureCode::Internal)) {
+    switch (failureFromName(refusal.code).value_or(FailureCode::Internal)) {
     case FailureCode::CeilingReached:
     case FailureCode::RequestTooLarge:
     case FailureCode::Overloaded:
--- a/src/radishctl/commandcontext.h
+++ b/src/radishctl/commandcontext.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "adminport.h"
-#include "base/boundedcall.h"
+#include "base/callbackwithtimeout.h"
 #include "base/objectstore.h"
 #include "base/randomsource.h"
 #include "base/taskqueue.h"
@@ -63,7 +63,7 @@
     absl::StatusOr<T> awaitBounded(const std::function<void(std::function<void(absl::StatusOr<T>)>)> &start)
     {
         return await<T>([this, &start](std::function<void(absl::StatusOr<T>)> callback) {
-            start(boundedCall<T>(m_environment.timers, kLongestWait, std::move(callback)));
+            start(callbackWithTimeout<T>(m_environment.timers, kLongestWait, std::move(callback)));
         });
     }
 
--- a/tests/core/base/failure_test.cpp
+++ b/tests/core/base/failure_test.cpp
@@ -10,7 +10,7 @@
         makeFailure(FailureCode::BudgetExhausted, "nothing left", std::chrono::milliseconds(250));
 
     EXPECT_EQ(failureCode(status), FailureCode::BudgetExhausted);
-    EXPECT_EQ(failureOfName(failureName(FailureCode::BudgetExhausted)), FailureCode::BudgetExhausted);
+    EXPECT_EQ(failureFromName(failureName(FailureCode::BudgetExhausted)), FailureCode::BudgetExhausted);
     EXPECT_EQ(retryAfterOf(status), std::chrono::milliseconds(250));
     EXPECT_EQ(outcomeOf(status), RunOutcome::NotRun);
 }
--- a/tests/core/budgets/budgetholder_test.cpp
+++ b/tests/core/budgets/budgetholder_test.cpp
@@ -328,7 +328,7 @@
         }
     };
     useFor(Seconds(10));
-    store.setAway(true);
+    store.setUnavailable(true);
     useFor(Seconds(60));
 }
 
--- a/tests/core/budgets/keptshard_test.cpp
+++ b/tests/core/budgets/keptshard_test.cpp
@@ -40,7 +40,7 @@
 
     StoreLink link{store, tasks, timers};
     StoreLink otherLink{store, tasks, timers};
-    StoreCallBudget calls{timers, 100, 100};
+    StoreCallLimiter calls{timers, 100, 100};
     ShardWriter writer{0, LedgerPorts{link, timers, random, calls}, keeping(ledgerSettings), [](bool) {}};
     ShardWriter other{0, LedgerPorts{otherLink, timers, random, calls}, ledgerSettings, [](bool) {}};
     absl::Status lastStatus;
--- a/tests/core/budgets/searchworld.cpp
+++ b/tests/core/budgets/searchworld.cpp
@@ -229,7 +229,8 @@
     }
     // What a process did is a function of what it was told, in its order.
     const std::array<std::uint64_t, 4> told{static_cast<std::uint64_t>(action.kind), static_cast<std::uint64_t>(i),
-                                            m_actors[actor]->store.reads, actor == kCloser ? m_agents.toldDigest() : 0};
+                                            m_actors[actor]->store.reads,
+                                            actor == kCloser ? m_agents.answerDigest() : 0};
     m_actors[actor]->history = XXH64(told.data(), sizeof told, m_actors[actor]->history);
 }
 
--- a/tests/core/budgets/shardwriter_test.cpp
+++ b/tests/core/budgets/shardwriter_test.cpp
@@ -39,7 +39,7 @@
     }
 
     StoreLink link{store, tasks, timers};
-    StoreCallBudget calls{timers, 100, 100};
+    StoreCallLimiter calls{timers, 100, 100};
     ShardWriter writer{0, LedgerPorts{link, timers, random, calls}, ledgerSettings, [](bool) {}};
 };
 
@@ -161,7 +161,7 @@
 
 TEST_F(ShardWriterTest, storeCallBudget_moreAskedThanAllowed_spreadsCalls)
 {
-    StoreCallBudget budget(timers, 10, 5);
+    StoreCallLimiter budget(timers, 10, 5);
     int n = 0;
     for (int i = 0; i < 100; ++i) {
         budget.acquire([&] {
--- a/tests/core/limits/overload_test.cpp
+++ b/tests/core/limits/overload_test.cpp
@@ -47,7 +47,7 @@
         }
         for (std::uint64_t i = 0; i < kEntries; ++i) {
             m_entries.push_back(std::make_unique<Entry>(i));
-            m_entries.back()->router.setPartOfCapacity(i, kEntries);
+            m_entries.back()->router.setCapacityShare(i, kEntries);
         }
         sendReports();
         const TimerId reports = m_timers.every(500ms, [this] {
--- a/tests/core/membership/fleetmembership_test.cpp
+++ b/tests/core/membership/fleetmembership_test.cpp
@@ -24,22 +24,22 @@
         return member;
     }
 
-    void hear(const std::string &name, const std::string &incarnation = "")
+    void sendHeartbeat(const std::string &name, const std::string &incarnation = "")
     {
         m_membership.applyHeartbeat(memberOf(name, incarnation), m_timers.now());
     }
 
-    void hearMany(int n)
+    void sendHeartbeats(int n)
     {
         for (int i = 0; i < n; ++i) {
-            hear("entry-" + std::to_string(i));
+            sendHeartbeat("entry-" + std::to_string(i));
         }
     }
 
-    void pass(Duration span)
+    void advanceTime(Duration span)
     {
         m_timers.advance(span);
-        m_membership.advance(m_timers.now());
+        m_membership.updateLiveness(m_timers.now());
     }
 
     std::vector<std::string> live() const
@@ -83,8 +83,8 @@
 
 TEST_F(FleetMembershipTest, liveEntries_heardAndNotLeaving_areListedByAddress)
 {
-    hear("b");
-    hear("a");
+    sendHeartbeat("b");
+    sendHeartbeat("a");
     EntryMember leaving = memberOf("c");
     leaving.isLeaving = true;
     m_membership.applyHeartbeat(leaving, m_timers.now());
@@ -97,30 +97,30 @@
 
 TEST_F(FleetMembershipTest, liveEntries_silentLostOrListedAsLeaving_areLeftOut)
 {
-    hear("a");
-    hear("b");
-    hear("c");
-    m_membership.noteLost(IncarnationId("a-first"), m_timers.now());
+    sendHeartbeat("a");
+    sendHeartbeat("b");
+    sendHeartbeat("c");
+    m_membership.markUnreachable(IncarnationId("a-first"), m_timers.now());
     m_membership.applyListed("b:7000", true, m_timers.now());
     EXPECT_EQ(live(), (std::vector<std::string>{"c:7000"}));
 
-    pass(3s);
+    advanceTime(3s);
     EXPECT_TRUE(live().empty());
-    hear("c");
+    sendHeartbeat("c");
     EXPECT_EQ(live(), (std::vector<std::string>{"c:7000"}));
 }
 
 // A rolling restart: the list lags and still shows the leaving of the incarnation before.
 TEST_F(FleetMembershipTest, liveEntries_restartedWhileListSaysLeaving_isLiveUntilListCannotLag)
 {
-    hear("a", "first");
+    sendHeartbeat("a", "first");
     m_membership.applyListed("a:7000", true, m_timers.now());
-    hear("a", "second");
+    sendHeartbeat("a", "second");
     m_membership.applyListed("a:7000", true, m_timers.now());
     EXPECT_EQ(live(), (std::vector<std::string>{"a:7000"}));
 
-    pass(10s);
-    hear("a", "second");
+    advanceTime(10s);
+    sendHeartbeat("a", "second");
     EXPECT_TRUE(live().empty());
 }
 
@@ -141,17 +141,17 @@
     m_membership.subscribe([&changes] {
         ++changes;
     });
-    hear("a");
+    sendHeartbeat("a");
     EXPECT_EQ(changes, 0);
     m_tasks.runAll();
     EXPECT_EQ(changes, 1);
 
-    hear("a");
-    pass(1s);
+    sendHeartbeat("a");
+    advanceTime(1s);
     m_tasks.runAll();
     EXPECT_EQ(changes, 1);
 
-    pass(2s);
+    advanceTime(2s);
     m_tasks.runAll();
     EXPECT_EQ(changes, 2);
 }
@@ -160,9 +160,9 @@
 // for budgets all over, and strand the old ones.
 TEST_F(FleetMembershipTest, homeOf_oneEntryGoes_onlyItsShardsMove)
 {
-    hearMany(100);
+    sendHeartbeats(100);
     const std::map<std::uint32_t, std::string> before = homes();
-    m_membership.noteLost(IncarnationId("entry-7-first"), m_timers.now());
+    m_membership.markUnreachable(IncarnationId("entry-7-first"), m_timers.now());
     const std::map<std::uint32_t, std::string> after = homes();
 
     for (const auto &[shard, home] : before) {
@@ -172,7 +172,7 @@
 
 TEST_F(FleetMembershipTest, homeOf_hundredEntries_shardsAreSpreadEvenly)
 {
-    hearMany(100);
+    sendHeartbeats(100);
     std::map<std::string, int> counts;
     for (const auto &[shard, home] : homes()) {
         ++counts[home];
@@ -193,9 +193,9 @@
 // and spend from their portions. Held for dead, their portions would be closed under them and their callers refused.
 TEST_F(FleetMembershipTest, isDead_silentForMinutesButListed_isNotDead)
 {
-    hear("a");
+    sendHeartbeat("a");
     m_membership.applyListed("a:7000", false, m_timers.now());
-    pass(5min);
+    advanceTime(5min);
     EXPECT_TRUE(live().empty());
     EXPECT_FALSE(isDead("a-first"));
 
@@ -206,9 +206,9 @@
 // The list lacks an entry that lives.
 TEST_F(FleetMembershipTest, isDead_unlistedButHeard_isNotDead)
 {
-    hear("a");
+    sendHeartbeat("a");
     m_membership.applyUnlisted("a:7000", m_timers.now());
-    pass(29s);
+    advanceTime(29s);
 
     EXPECT_FALSE(isDead("a-first"));
 }
@@ -217,14 +217,14 @@
 // can't listen at the address of a first: the earlier incarnation is dead, and its portions need not wait.
 TEST_F(FleetMembershipTest, isDead_addressHasALaterIncarnation_isDeadSoon)
 {
-    hear("a", "first");
+    sendHeartbeat("a", "first");
     m_membership.applyListed("a:7000", false, m_timers.now());
-    pass(1s);
-    hear("a", "second");
-    hear("a", "first");
+    advanceTime(1s);
+    sendHeartbeat("a", "second");
+    sendHeartbeat("a", "first");
     EXPECT_EQ(live(), (std::vector<std::string>{"a:7000"}));
 
-    pass(2s);
+    advanceTime(2s);
     EXPECT_TRUE(isDead("first"));
     EXPECT_FALSE(isDead("second"));
 }
@@ -234,12 +234,12 @@
 TEST_F(FleetMembershipTest, isDead_neverHeardOf_goesByTheListAndTakesLong)
 {
     m_membership.applyListed("far:7000", false, m_timers.now());
-    pass(5min);
+    advanceTime(5min);
 
     EXPECT_FALSE(isDead("far-first", "far:7000"));
     EXPECT_TRUE(isDead("gone-first", "gone:7000"));
     EXPECT_FALSE(isDead("nameless"));
-    pass(5min);
+    advanceTime(5min);
     EXPECT_TRUE(isDead("nameless"));
 }
 
@@ -255,11 +255,11 @@
 
 TEST_F(FleetMembershipTest, watchersOfZone_manyEntries_areFewAndStayWhenOthersGo)
 {
-    hearMany(80);
+    sendHeartbeats(80);
     const std::vector<EntryMember> watchers = m_membership.watchersOfZone("hall-a", 2);
     ASSERT_EQ(watchers.size(), 2u);
 
-    m_membership.noteLost(watchers[0].incarnation, m_timers.now());
+    m_membership.markUnreachable(watchers[0].incarnation, m_timers.now());
     const std::vector<EntryMember> next = m_membership.watchersOfZone("hall-a", 2);
     ASSERT_EQ(next.size(), 2u);
     EXPECT_EQ(next[0], watchers[1]);
@@ -268,7 +268,7 @@
 
 TEST_F(FleetMembershipTest, subsetOf_fewEndpoints_isEverything)
 {
-    hearMany(3);
+    sendHeartbeats(3);
 
     EXPECT_EQ(m_membership.subsetOf(endpoints(12), IncarnationId("entry-0-first"), 24), endpoints(12));
 }
@@ -277,7 +277,7 @@
 // stand idle; one that all cover would have the control traffic of the full mesh.
 TEST_F(FleetMembershipTest, subsetOf_manyEndpoints_coversEachEquallyOften)
 {
-    hearMany(205);
+    sendHeartbeats(205);
     std::map<EndpointId, int> coverage;
     for (int i = 0; i < 205; ++i) {
         const IncarnationId me("entry-" + std::to_string(i) + "-first");
@@ -297,10 +297,10 @@
 
 TEST_F(FleetMembershipTest, subsetOf_oneEntryGoes_othersChangeLittle)
 {
-    hearMany(100);
+    sendHeartbeats(100);
     const IncarnationId me("entry-1-first");
     const std::vector<EndpointId> before = m_membership.subsetOf(endpoints(650), me, 60);
-    m_membership.noteLost(IncarnationId("entry-7-first"), m_timers.now());
+    m_membership.markUnreachable(IncarnationId("entry-7-first"), m_timers.now());
     const std::vector<EndpointId> after = m_membership.subsetOf(endpoints(650), me, 60);
 
     const std::set<EndpointId> now(after.begin(), after.end());
--- a/tests/core/requests/claimbook_test.cpp
+++ b/tests/core/requests/claimbook_test.cpp
@@ -115,12 +115,12 @@
     while (m_store.writes() == 0) {
         ASSERT_TRUE(m_tasks.runOne());
     }
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
     m_tasks.runAll();
 
     ASSERT_TRUE(answer.has_value());
     EXPECT_EQ(failureCode(answer->status()), FailureCode::StoreUnavailable);
-    m_store.setAway(false);
+    m_store.setUnavailable(false);
     settleDown();
     EXPECT_EQ(find(m_second, "order-1")->state, ClaimState::NotRun);
     EXPECT_EQ(claim(m_second, claimOf("order-1", "b"))->attempt, AttemptId("b"));
@@ -128,7 +128,7 @@
 
 TEST_F(ClaimBookTest, claim_storeAway_failsAtOnce)
 {
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
 
     const auto standing = claim(m_first, claimOf("order-1", "a"));
 
@@ -155,13 +155,13 @@
 TEST_F(ClaimBookTest, note_storeAwayForAnHour_isWrittenAfterwards)
 {
     ASSERT_TRUE(claim(m_first, claimOf("order-1", "a")).ok());
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
     m_first.note(kShard, RequestId("order-1"), AttemptId("a"), ClaimState::Done);
     m_timers.advance(std::chrono::hours(1));
     m_tasks.runAll();
     EXPECT_TRUE(m_first.hasUnwrittenNotes());
 
-    m_store.setAway(false);
+    m_store.setUnavailable(false);
     settleDown();
 
     EXPECT_FALSE(m_first.hasUnwrittenNotes());
--- a/tests/core/requests/home_test.cpp
+++ b/tests/core/requests/home_test.cpp
@@ -224,7 +224,7 @@
 TEST_F(HomeTest, admit_nonIdempotentWhileStoreAway_isRefusedAtOnce)
 {
     ask(*first, keyed("other"));
-    fleet.store.setAway(true);
+    fleet.store.setUnavailable(true);
 
     const Asked asked = ask(*first, order("r"));
 
@@ -237,7 +237,7 @@
 TEST_F(HomeTest, admit_idempotentWhileStoreAway_goesOnAtTheOwner)
 {
     ask(*first, keyed("other"));
-    fleet.store.setAway(true);
+    fleet.store.setUnavailable(true);
 
     EXPECT_EQ(ask(*first, keyed("r"))->grant().reservedTokens, kWorstCase);
 }
--- a/tests/core/requests/hometakeover_test.cpp
+++ b/tests/core/requests/hometakeover_test.cpp
@@ -309,12 +309,12 @@
     ask(*first, keyed("other"));
     setDead(*first, *second);
     ask(*second, keyed("another"));
-    first->reservations.setHolding(true);
+    first->reservations.setDelayingAnswers(true);
     const Asked asked = ask(*first, keyed("r"));
     first->home->noteStaleEpoch(first->home->shardOf(keyed("r").budget), 1);
     fleet.settle();
 
-    first->reservations.setHolding(false);
+    first->reservations.setDelayingAnswers(false);
     fleet.settle();
 
     EXPECT_EQ(asked->failure(), FailureCode::HomeElsewhere);
@@ -329,13 +329,13 @@
     kill(first, *second);
     fleet.agents.setCut("second", "agent-2", true);
     ask(*second, keyed("other"));
-    second->reservations.setHolding(true);
+    second->reservations.setDelayingAnswers(true);
     const Asked retry = ask(*second, question);
     fleet.agents.setCut("second", "agent-2", false);
     fleet.advance(std::chrono::seconds(2));
     ASSERT_FALSE(retry->isAnswered());
 
-    second->reservations.setHolding(false);
+    second->reservations.setDelayingAnswers(false);
     fleet.settle();
 
     EXPECT_EQ(retry->duplicate().attempt, old.attempt);
--- a/tests/core/requests/keyownership_test.cpp
+++ b/tests/core/requests/keyownership_test.cpp
@@ -179,7 +179,7 @@
 TEST_F(KeyOwnershipTest, check_storeAway_ownerStaysOwner)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
 
     m_timers.advance(std::chrono::hours(1));
     m_tasks.runAll();
@@ -268,7 +268,7 @@
     constexpr int kSeconds = 3600;
     constexpr int kCalls = 600;
     ASSERT_TRUE(acquire(*m_first).ok());
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
     const auto watcher = makeEntry("watcher", true);
     const int before = m_store.calls();
     for (int n = 0; n < kSeconds; ++n) {
@@ -278,7 +278,7 @@
     // The first owner looks after its record meanwhile, twice a minute.
     EXPECT_LT(m_store.calls() - before, kCalls + kSeconds / 30);
 
-    m_store.setAway(false);
+    m_store.setUnavailable(false);
     m_timers.advance(std::chrono::seconds(20));
     m_tasks.runAll();
 
--- a/tests/core/routing/endpointdirectory_test.cpp
+++ b/tests/core/routing/endpointdirectory_test.cpp
@@ -31,9 +31,9 @@
             {m_endpoint, "10.0.0.1:7001", PoolId("drape-llm"), "hall-a", "south-central", isLeaving}, m_timers.now());
     }
 
-    EndpointStanding standing() const
+    EndpointStatus status() const
     {
-        return m_directory.standing(*m_directory.slotOf(m_endpoint), m_timers.now());
+        return m_directory.status(*m_directory.slotOf(m_endpoint), m_timers.now());
     }
 
     const EndpointId m_endpoint{"a"};
@@ -44,21 +44,21 @@
 
 // The platform's list lags. It still names an endpoint whose instance is gone; nobody answers there, and a request sent
 // there is lost until it times out. Only what an agent says makes an endpoint eligible.
-TEST_F(EndpointDirectoryTest, standing_listedButNeverHeard_isNotEligible)
+TEST_F(EndpointDirectoryTest, status_listedButNeverHeard_isNotEligible)
 {
     list();
 
-    EXPECT_EQ(standing(), EndpointStanding::NeverHeard);
+    EXPECT_EQ(status(), EndpointStatus::NeverReported);
 }
 
 // The list lacks an endpoint that lives and reports. Leaving it out would refuse requests while it stands idle.
-TEST_F(EndpointDirectoryTest, standing_heardButUnlisted_isEligible)
+TEST_F(EndpointDirectoryTest, status_heardButUnlisted_isEligible)
 {
     list();
     report();
     m_directory.applyUnlisted(m_endpoint, m_timers.now());
 
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
 // The endpoint begins to leave; whichever news is first stops new work at once, and good news from the other source,
@@ -72,7 +72,7 @@
     m_directory.applyReport(leaving, m_timers.now());
     list();
 
-    EXPECT_EQ(standing(), EndpointStanding::Leaving);
+    EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
 TEST_F(EndpointDirectoryTest, leaving_listSaysSoFirst_agentsReportDoesNotUndoIt)
@@ -81,7 +81,7 @@
     list(true);
     report();
 
-    EXPECT_EQ(standing(), EndpointStanding::Leaving);
+    EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
 TEST_F(EndpointDirectoryTest, leaving_unlistedAfterwards_staysLeaving)
@@ -91,7 +91,7 @@
     m_directory.applyUnlisted(m_endpoint, m_timers.now());
     report();
 
-    EXPECT_EQ(standing(), EndpointStanding::Leaving);
+    EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
 // The instance is cut off before it can say a word, and the list lags by minutes. Its silence has to do: the caller's
@@ -100,23 +100,23 @@
 {
     report();
     m_timers.advance(1999ms);
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 
     m_timers.advance(1ms);
-    EXPECT_EQ(standing(), EndpointStanding::Silent);
+    EXPECT_EQ(status(), EndpointStatus::Silent);
 
     report();
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
 TEST_F(EndpointDirectoryTest, connectionLost_heardAgain_isEligibleAgain)
 {
     report();
     m_directory.noteConnectionLost(m_endpoint, m_timers.now());
-    EXPECT_EQ(standing(), EndpointStanding::ConnectionLost);
+    EXPECT_EQ(status(), EndpointStatus::ConnectionLost);
 
     report();
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
 TEST_F(EndpointDirectoryTest, applyReport_oldSequence_isIgnored)
@@ -127,7 +127,7 @@
     m_directory.applyReport(late, m_timers.now());
 
     EXPECT_FALSE(m_directory.applyReport(early, m_timers.now()));
-    EXPECT_EQ(standing(), EndpointStanding::Leaving);
+    EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
 // The agent restarts under the same name while the list still says "leaving" for its earlier life. Were that believed,
@@ -140,7 +140,7 @@
     report("second");
     list(true);
 
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
 // As above, but the instance is being taken away for good and only its agent was restarted: the list goes on saying so
@@ -156,7 +156,7 @@
         list(true);
     }
 
-    EXPECT_EQ(standing(), EndpointStanding::Leaving);
+    EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
 // A report of the earlier life was held up in the network. Taken for a new start, it would bring back the dead life's
@@ -169,7 +169,7 @@
     report("second");
 
     EXPECT_FALSE(m_directory.applyReport(delayed, m_timers.now()));
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
 TEST_F(EndpointDirectoryTest, applyLoad_laterThanReport_isTaken)
@@ -186,11 +186,11 @@
     EXPECT_EQ(m_directory.find(m_endpoint)->load.running, 3u);
 }
 
-TEST_F(EndpointDirectoryTest, forgetGone_silentForLongAndUnlisted_isForgotten)
+TEST_F(EndpointDirectoryTest, removeSilent_silentForLongAndUnlisted_isForgotten)
 {
     report();
     m_timers.advance(60s);
-    m_directory.forgetGone(m_timers.now());
+    m_directory.removeSilent(m_timers.now());
 
     EXPECT_EQ(m_directory.find(m_endpoint), nullptr);
     EXPECT_TRUE(m_directory.serving(PoolId("drape-llm"), "").empty());
--- a/tests/core/routing/poolorders_test.cpp
+++ b/tests/core/routing/poolorderplanner_test.cpp
@@ -3,7 +3,7 @@
 #include "membership/leaseholder.h"
 #include "memoryobjectstore.h"
 #include "requests/ordergate.h"
-#include "routing/poolorders.h"
+#include "routing/poolorderplanner.h"
 #include "virtualtimerservice.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 class LeaseHolderTest : public testing::Test
 {
 protected:
-    void pass(Duration span)
+    void advanceTime(Duration span)
     {
         for (Duration gone{}; gone < span; gone += 500ms) {
             m_timers.advance(500ms);
@@ -51,7 +51,7 @@
     m_tasks.runAll();
     const EndpointOrder late{PoolId("drape-llm"), EndpointId("a"), *m_first.fence(), 1, OrderKind::SetVersion, "2"};
     m_rival.start();
-    pass(15s);
+    advanceTime(15s);
     ASSERT_EQ(m_rival.fence(), 2u);
     OrderGate gate;
     gate.setFence(1);
@@ -69,8 +69,8 @@
     m_rival.start();
     m_tasks.runAll();
     ASSERT_TRUE(m_rival.fence().has_value());
-    m_store.setAway(true);
-    pass(6s);
+    m_store.setUnavailable(true);
+    advanceTime(6s);
 
     EXPECT_EQ(m_rival.fence(), std::nullopt);
 }
@@ -83,7 +83,7 @@
     m_tasks.runAll();
     ASSERT_TRUE(m_rival.fence().has_value());
     m_store.loseAnswersOfNextWrites(100);
-    pass(6s);
+    advanceTime(6s);
 
     EXPECT_EQ(m_rival.fence(), std::nullopt);
 }
@@ -91,7 +91,7 @@
 TEST_F(LeaseHolderTest, fence_renewed_isKeptAndStaysTheSame)
 {
     m_rival.start();
-    pass(60s);
+    advanceTime(60s);
 
     EXPECT_EQ(m_rival.fence(), 1u);
 }
@@ -105,7 +105,7 @@
     m_tasks.runAll();
     EXPECT_EQ(m_rival.fence(), std::nullopt);
 
-    pass(3s);
+    advanceTime(3s);
     EXPECT_EQ(m_rival.fence(), 1u);
 }
 
@@ -116,7 +116,7 @@
     m_rival.start();
     m_tasks.runAll();
     m_first.release();
-    pass(3s);
+    advanceTime(3s);
 
     EXPECT_EQ(m_first.fence(), std::nullopt);
     EXPECT_EQ(m_rival.fence(), 2u);
@@ -134,31 +134,31 @@
     EXPECT_EQ(failureCode(gate.admit(order)), FailureCode::StaleFence);
 }
 
-class PoolOrdersTest : public testing::Test
+class PoolOrderPlannerTest : public testing::Test
 {
 protected:
     void report(int i, const std::string &version, bool isEligible = true, bool isChanging = false)
     {
-        m_orders.applyReported({EndpointId(std::to_string(i)), version, {}, isEligible, isChanging});
+        m_planner.applyReported({EndpointId(std::to_string(i)), version, {}, isEligible, isChanging});
     }
 
     VirtualTimerService m_timers;
-    PoolOrders m_orders{PoolId("drape-llm"), m_timers.now(), {.loadsPerSecond = 1}};
+    PoolOrderPlanner m_planner{PoolId("drape-llm"), m_timers.now(), {.loadsPerSecond = 1}};
 };
 
 // Twelve endpoints get a new version, each of which takes 30 s to load it and serves nothing meanwhile. All at once
 // would stop the pool and flood the weight store.
-TEST_F(PoolOrdersTest, rollout_twelveEndpoints_fewAtATimeInsideTheRate)
+TEST_F(PoolOrderPlannerTest, rollout_twelveEndpoints_fewAtATimeInsideTheRate)
 {
     std::map<int, Instant> loading;
-    m_orders.setWanted({"2", {}});
+    m_planner.setDesired({"2", {}});
     for (int i = 0; i < 12; ++i) {
         report(i, "1");
     }
     Instant last{};
-    for (int second = 0; second < 600 && !m_orders.isDone(); ++second) {
+    for (int second = 0; second < 600 && !m_planner.isDone(); ++second) {
         m_timers.advance(1s);
-        for (const EndpointOrder &order : m_orders.next(5, m_timers.now())) {
+        for (const EndpointOrder &order : m_planner.nextOrders(5, m_timers.now())) {
             EXPECT_GE(m_timers.now() - last, 1s);
             last = m_timers.now();
             loading[std::stoi(order.endpoint.value())] = last + 30s;
@@ -171,55 +171,55 @@
         });
     }
 
-    EXPECT_TRUE(m_orders.isDone());
+    EXPECT_TRUE(m_planner.isDone());
 }
 
 // A zone is lost in the middle of a rollout, with a third of the pool. What still serves is all there is.
-TEST_F(PoolOrdersTest, rollout_thirdOfThePoolLost_waitsBeforeTakingMoreAway)
+TEST_F(PoolOrderPlannerTest, rollout_thirdOfThePoolLost_waitsBeforeTakingMoreAway)
 {
-    m_orders.setWanted({"2", {}});
+    m_planner.setDesired({"2", {}});
     for (int i = 0; i < 12; ++i) {
         report(i, i < 4 ? "2" : "1", i >= 4);
     }
     m_timers.advance(10s);
-    EXPECT_TRUE(m_orders.next(1, m_timers.now()).empty());
+    EXPECT_TRUE(m_planner.nextOrders(1, m_timers.now()).empty());
 
     for (int i = 0; i < 4; ++i) {
         report(i, "2");
     }
-    EXPECT_EQ(m_orders.next(1, m_timers.now()).size(), 1u);
+    EXPECT_EQ(m_planner.nextOrders(1, m_timers.now()).size(), 1u);
 }
 
 // The lease changes hands while two endpoints carry out orders of the earlier holder. The new one knows nothing of
 // those but what the agents report.
-TEST_F(PoolOrdersTest, next_ordersOfAnEarlierHolderUnderWay_givesNoMore)
+TEST_F(PoolOrderPlannerTest, nextOrders_ordersOfAnEarlierHolderUnderWay_givesNoMore)
 {
-    m_orders.setWanted({"2", {}});
+    m_planner.setDesired({"2", {}});
     for (int i = 0; i < 12; ++i) {
         report(i, "1", i >= 2, i < 2);
     }
-    EXPECT_TRUE(m_orders.next(2, m_timers.now()).empty());
+    EXPECT_TRUE(m_planner.nextOrders(2, m_timers.now()).empty());
     m_timers.advance(10s);
-    EXPECT_TRUE(m_orders.next(2, m_timers.now()).empty());
+    EXPECT_TRUE(m_planner.nextOrders(2, m_timers.now()).empty());
 }
 
-TEST_F(PoolOrdersTest, next_adaptersDiffer_unloadsFirstAndThenLoads)
+TEST_F(PoolOrderPlannerTest, nextOrders_adaptersDiffer_unloadsFirstAndThenLoads)
 {
-    m_orders.setWanted({"", {"blinds"}});
-    m_orders.applyReported({EndpointId("e"), "1", {"curtains"}});
+    m_planner.setDesired({"", {"blinds"}});
+    m_planner.applyReported({EndpointId("e"), "1", {"curtains"}});
     m_timers.advance(1s);
-    std::vector<EndpointOrder> orders = m_orders.next(1, m_timers.now());
+    std::vector<EndpointOrder> orders = m_planner.nextOrders(1, m_timers.now());
     ASSERT_EQ(orders.size(), 1u);
     EXPECT_EQ(orders[0].kind, OrderKind::UnloadAdapter);
-    EXPECT_TRUE(m_orders.next(1, m_timers.now()).empty());
+    EXPECT_TRUE(m_planner.nextOrders(1, m_timers.now()).empty());
 
-    m_orders.applyReported({EndpointId("e"), "1", {}});
-    orders = m_orders.next(1, m_timers.now());
+    m_planner.applyReported({EndpointId("e"), "1", {}});
+    orders = m_planner.nextOrders(1, m_timers.now());
     ASSERT_EQ(orders.size(), 1u);
     EXPECT_EQ(orders[0].kind, OrderKind::LoadAdapter);
-    m_orders.noteFailed(EndpointId("e"), m_timers.now());
+    m_planner.noteFailed(EndpointId("e"), m_timers.now());
     m_timers.advance(9s);
-    EXPECT_TRUE(m_orders.next(1, m_timers.now()).empty());
+    EXPECT_TRUE(m_planner.nextOrders(1, m_timers.now()).empty());
     m_timers.advance(1s);
-    EXPECT_EQ(m_orders.next(1, m_timers.now()).size(), 1u);
+    EXPECT_EQ(m_planner.nextOrders(1, m_timers.now()).size(), 1u);
 }
--- a/tests/core/routing/poolrouter_test.cpp
+++ b/tests/core/routing/poolrouter_test.cpp
@@ -355,7 +355,7 @@
 TEST_F(PoolRouterTest, freeSlots_sharedByThreeEntries_areAboutAThird)
 {
     reportAll({"a", "b", "c"});
-    m_router.setPartOfCapacity(0, 3);
+    m_router.setCapacityShare(0, 3);
     EXPECT_EQ(m_router.freeSlots(m_pool), 8);
 
     for (int i = 0; i < 8; ++i) {
@@ -370,7 +370,7 @@
     full.load.running = 8;
     full.load.queued = 3;
     m_directory.applyReport(full, m_timers.now());
-    m_router.setPartOfCapacity(1, 2);
+    m_router.setCapacityShare(1, 2);
 
     EXPECT_EQ(m_router.freeSlots(m_pool), 4);
 }
--- a/tests/core/serving/coalescingstore_test.cpp
+++ b/tests/core/serving/coalescingstore_test.cpp
@@ -71,7 +71,7 @@
 
 TEST_F(CoalescingStoreTest, failure_isToldToAllThatWait)
 {
-    platform.setAway(true);
+    platform.setUnavailable(true);
     store.list("config/", record());
     store.list("config/", record());
     tasks.runAll();
--- a/tests/core/serving/objectfollower_test.cpp
+++ b/tests/core/serving/objectfollower_test.cpp
@@ -122,12 +122,12 @@
     });
     store.failNextWatch = makeFailure(FailureCode::StoreUnavailable, "away");
     follower.start();
-    store.setAway(true);
+    store.setUnavailable(true);
     for (int n = 0; n < 200; ++n) {
         run(std::chrono::milliseconds(50));
     }
     EXPECT_LT(store.watches + store.lists, 40);
-    store.setAway(false);
+    store.setUnavailable(false);
     put("two");
     run(std::chrono::milliseconds(1000));
     EXPECT_EQ(values["config/main"], "two");
--- a/tests/core/table/tableeditor_test.cpp
+++ b/tests/core/table/tableeditor_test.cpp
@@ -248,7 +248,7 @@
 TEST_F(TableEditorTest, submit_storeAway_failsTypedAndChangesNothing)
 {
     const std::string before = m_store.objects().at(kTableKey).value;
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
 
     const absl::StatusOr<AuditRecord> record = submit(m_editor, setShare("ann", "blinds", "300"));
 
@@ -266,11 +266,11 @@
     edit.changeId = "1-00000000000000aa";
     const auto result = begin(m_editor, edit);
     m_tasks.runAll();
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
     runUntil(result);
     EXPECT_EQ(failureCode((*result)->status()), FailureCode::StoreTimeout);
     EXPECT_EQ(outcomeOf((*result)->status()), RunOutcome::Unknown);
-    m_store.setAway(false);
+    m_store.setUnavailable(false);
     for (int n = 0; n < 150; ++n) {
         ASSERT_TRUE(submit(m_editor, setShare("bob", "blinds", std::to_string(500 + n), 0)).ok());
     }
--- a/tests/core/table/tablefollower_test.cpp
+++ b/tests/core/table/tablefollower_test.cpp
@@ -219,12 +219,12 @@
 {
     write(tableAt(7, 700));
     startWatching(m_follower);
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
     pass(3600s);
 
     EXPECT_EQ(m_follower.current()->revision(), 7u);
     EXPECT_FALSE(m_follower.status().isStoreAnswering);
-    m_store.setAway(false);
+    m_store.setUnavailable(false);
     write(tableAt(8, 800));
     pass(5s);
     EXPECT_EQ(m_follower.current()->revision(), 8u);
@@ -236,7 +236,7 @@
     write(tableAt(7, 700));
     startWatching(m_peer);
     m_peers.source = &m_peer;
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
     m_follower.start();
     pass(2s);
     ASSERT_EQ(m_follower.current()->revision(), 0u);
--- a/tests/core/table/tablerace_test.cpp
+++ b/tests/core/table/tablerace_test.cpp
@@ -174,7 +174,7 @@
             anyPath().holdNextWrite();
             break;
         case 5:
-            m_store.setAway(m_random.below(2) == 0);
+            m_store.setUnavailable(m_random.below(2) == 0);
             break;
         default:
             mendOne(anyPath());
@@ -190,7 +190,7 @@
 
     void mendAll()
     {
-        m_store.setAway(false);
+        m_store.setUnavailable(false);
         m_store.loseAnswersOfNextWrites(0);
         for (const auto &it : m_operators) {
             mendOne(it->path);
--- a/tests/fakes/fakeagents.h
+++ b/tests/fakes/fakeagents.h
@@ -69,9 +69,9 @@
     }
 
     /// Stands for everything that closers were told, in its order.
-    std::uint64_t toldDigest() const
+    std::uint64_t answerDigest() const
     {
-        return m_toldDigest;
+        return m_answerDigest;
     }
 
     std::vector<std::string> agentAddresses() const override
@@ -95,14 +95,14 @@
                        std::function<void(absl::StatusOr<std::vector<PortionCharges>>)> callback) override
     {
         m_tasks.post([this, address, portions = std::move(portions), callback = std::move(callback)] {
-            m_toldDigest = m_toldDigest * kDigestFactor + 1;
+            m_answerDigest = m_answerDigest * kDigestFactor + 1;
             if (m_agents[address].isSilent) {
                 return callback(RadishSwitch::makeFailure(RadishSwitch::FailureCode::ConnectionSilent, address));
             }
             std::vector<PortionCharges> answer;
             for (const PortionId &portion : portions) {
                 answer.push_back(close(m_agents[address], portion));
-                noteTold(answer.back());
+                addToAnswerDigest(answer.back());
             }
             callback(answer);
         });
@@ -126,12 +126,12 @@
         std::map<PortionId, std::map<RequestId, std::int64_t>> charges;
     };
 
-    void noteTold(const PortionCharges &charges)
+    void addToAnswerDigest(const PortionCharges &charges)
     {
         for (const PortionCharges::Charge &charge : charges.charges) {
-            m_toldDigest = m_toldDigest * kDigestFactor + static_cast<std::uint64_t>(charge.tokens);
+            m_answerDigest = m_answerDigest * kDigestFactor + static_cast<std::uint64_t>(charge.tokens);
         }
-        m_toldDigest = m_toldDigest * kDigestFactor + charges.running.size();
+        m_answerDigest = m_answerDigest * kDigestFactor + charges.running.size();
     }
 
     static PortionCharges close(Agent &agent, const PortionId &portion)
@@ -157,5 +157,5 @@
 
     RadishSwitch::TaskQueue &m_tasks;
     std::map<std::string, Agent> m_agents;
-    std::uint64_t m_toldDigest = 0;
+    std::uint64_t m_answerDigest = 0;
 };
--- a/tests/fakes/memoryagents.h
+++ b/tests/fakes/memoryagents.h
@@ -171,7 +171,7 @@
             std::move(callback));
     }
 
-    static std::string told(const RunRecord &record)
+    static std::string describe(const RunRecord &record)
     {
         switch (record.state) {
         case RadishSwitch::RunState::Unknown:
@@ -192,16 +192,16 @@
     template<typename Answer>
     using Callback = std::function<void(absl::StatusOr<Answer>)>;
 
-    static std::string told(const std::vector<RunRecord> &records)
+    static std::string describe(const std::vector<RunRecord> &records)
     {
         std::string text;
         for (const RunRecord &record : records) {
-            text += (text.empty() ? "" : "; ") + told(record);
+            text += (text.empty() ? "" : "; ") + describe(record);
         }
         return text.empty() ? "none" : text;
     }
 
-    static std::string told(const std::vector<PortionCharges> &portions)
+    static std::string describe(const std::vector<PortionCharges> &portions)
     {
         std::int64_t tokens = 0;
         std::size_t running = 0;
@@ -230,7 +230,7 @@
                 return m_courier.carry({address, m_entry, "no connection", lost, lost});
             }
             Answer answer = question(*m_agents.table(address));
-            const std::string text = told(answer);
+            const std::string text = describe(answer);
             m_courier.carry({address, m_entry, text,
                              [callback, answer = std::move(answer)] {
                                  callback(answer);
--- a/tests/fakes/memoryobjectstore.h
+++ b/tests/fakes/memoryobjectstore.h
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-/// The platform's object API in memory, with the faults that the real one has: away, answers lost after the write,
-/// answers held back. Every answer goes through the task queue.
+/// The platform's object API in memory, with the faults that the real one has: unavailable, answers lost after the
+/// write, answers held back. Every answer goes through the task queue.
 class MemoryObjectStore : public RadishSwitch::ObjectStore
 {
 public:
@@ -22,10 +22,10 @@
     {
     }
 
-    /// While away, every call fails with StoreUnavailable and has no effect.
-    void setAway(bool away)
+    /// While unavailable, every call fails with StoreUnavailable and has no effect.
+    void setUnavailable(bool isUnavailable)
     {
-        m_isAway = away;
+        m_isUnavailable = isUnavailable;
     }
 
     /// While silent, calls take effect but are never answered.
@@ -64,7 +64,7 @@
     void get(const std::string &key, Callback<StoredObject> callback) override
     {
         ++m_calls;
-        if (m_isAway) {
+        if (m_isUnavailable) {
             return answer(std::move(callback), unavailable());
         }
         const auto it = m_objects.find(key);
@@ -78,7 +78,7 @@
              Callback<std::uint64_t> callback) override
     {
         ++m_calls;
-        if (m_isAway) {
+        if (m_isUnavailable) {
             return answer(std::move(callback), unavailable());
         }
         const auto it = m_objects.find(key);
@@ -102,7 +102,7 @@
         ++m_calls;
         absl::Status status;
         const auto it = m_objects.find(key);
-        if (m_isAway) {
+        if (m_isUnavailable) {
             status = unavailable();
         } else if (it == m_objects.end()) {
             status = RadishSwitch::makeFailure(FailureCode::ObjectMissing, key);
@@ -122,7 +122,7 @@
     void list(const std::string &prefix, Callback<StoreChanges> callback) override
     {
         ++m_calls;
-        if (m_isAway) {
+        if (m_isUnavailable) {
             return answer(std::move(callback), unavailable());
         }
         answer(std::move(callback), absl::StatusOr<StoreChanges>(changesAfter(prefix, 0)));
@@ -131,7 +131,7 @@
     void watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback) override
     {
         ++m_calls;
-        if (m_isAway) {
+        if (m_isUnavailable) {
             return answer(std::move(callback), unavailable());
         }
         StoreChanges changes = changesAfter(prefix, fromVersion);
@@ -201,7 +201,7 @@
     std::map<std::string, std::uint64_t> m_removed;
     std::vector<Watcher> m_watchers;
     std::uint64_t m_version = 0;
-    bool m_isAway = false;
+    bool m_isUnavailable = false;
     bool m_isSilent = false;
     int m_lostAnswers = 0;
     int m_calls = 0;
--- a/tests/fakes/memoryreservations.h
+++ b/tests/fakes/memoryreservations.h
@@ -39,36 +39,36 @@
         auto task = [callback = std::move(callback), answer] {
             callback(answer);
         };
-        if (m_isHolding) {
-            m_held.push_back(std::move(task));
+        if (m_isDelaying) {
+            m_delayedAnswers.push_back(std::move(task));
         } else {
             m_tasks.post(std::move(task));
         }
     }
 
     /// While holding, answers wait.
-    void setHolding(bool isHolding)
+    void setDelayingAnswers(bool isDelaying)
     {
-        m_isHolding = isHolding;
-        for (auto &task : std::exchange(m_held, {})) {
+        m_isDelaying = isDelaying;
+        for (auto &task : std::exchange(m_delayedAnswers, {})) {
             m_tasks.post(std::move(task));
         }
     }
 
     void settle(const RequestId &request, std::int64_t tokens) override
     {
-        m_free += taken(request) - tokens;
+        m_free += takeReservation(request) - tokens;
         m_billed[request].push_back(tokens);
     }
 
     void release(const RequestId &request) override
     {
-        m_free += taken(request);
+        m_free += takeReservation(request);
     }
 
     void withhold(const RequestId &request) override
     {
-        m_withheld += taken(request);
+        m_withheld += takeReservation(request);
     }
 
     std::int64_t free() const
@@ -104,7 +104,7 @@
     }
 
 private:
-    std::int64_t taken(const RequestId &request)
+    std::int64_t takeReservation(const RequestId &request)
     {
         auto node = m_reserved.extract(request);
         return node.empty() ? 0 : node.mapped();
@@ -115,8 +115,8 @@
     std::int64_t m_free;
     std::int64_t m_withheld = 0;
     int m_reservedTwice = 0;
-    bool m_isHolding = false;
-    std::vector<std::function<void()>> m_held;
+    bool m_isDelaying = false;
+    std::vector<std::function<void()>> m_delayedAnswers;
     std::map<RequestId, std::int64_t> m_reserved;
     std::map<RequestId, std::vector<std::int64_t>> m_billed;
 };
--- a/tests/golden/requestsession.cpp
+++ b/tests/golden/requestsession.cpp
@@ -169,7 +169,7 @@
                             const AttemptId &attempt)
 {
     const RunRecord record = m_agents.table(agent)->find(question.request, attempt);
-    send(agent, entry, "whole answer: " + MemoryAgentPort::told(record), [=, this] {
+    send(agent, entry, "whole answer: " + MemoryAgentPort::describe(record), [=, this] {
         if (!m_entries[entry]->home) {
             return;
         }
--- a/tests/golden/requestsession_test.cpp
+++ b/tests/golden/requestsession_test.cpp
@@ -45,7 +45,7 @@
     call("entry-1", order, "agent-2");
     advance(std::chrono::milliseconds(10));
     recorder.happens("the store goes away");
-    store.setAway(true);
+    store.setUnavailable(true);
     advance(std::chrono::milliseconds(90));
 
     recorder.tells("The quote goes on without the store.");
@@ -58,7 +58,7 @@
 
     recorder.tells("The store is back; the claim that did not run is undone.");
     recorder.happens("the store is back");
-    store.setAway(false);
+    store.setUnavailable(false);
     advance(std::chrono::milliseconds(8000));
 
     recorder.tells("The shop comes back again.");
--- a/tests/radishctl/fleetverbs_test.cpp
+++ b/tests/radishctl/fleetverbs_test.cpp
@@ -33,7 +33,7 @@
 {
     run({"org", "create", "magnolia"});
     run({"budget", "create", "magnolia"});
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
 
     EXPECT_EQ(run({"topup", "magnolia", "--tokens", "5000", "--payment-id", "p-1", "-o", "json"}), ExitCode::Failed);
 
@@ -118,7 +118,7 @@
 {
     run({"org", "create", "magnolia"});
     const std::string before = m_store.objects().at(kTableKey).value;
-    m_store.setAway(true);
+    m_store.setUnavailable(true);
 
     EXPECT_EQ(run({"org", "create", "other", "-o", "json"}), ExitCode::Failed);
 
--- a/tests/radishswitch-entry/homesession_test.cpp
+++ b/tests/radishswitch-entry/homesession_test.cpp
@@ -82,11 +82,11 @@
 TEST_F(LocalHomeSessionTest, destructor_beforeTheGrant_abandonsItWhenItComes)
 {
     auto session = open();
-    entry->reservations.setHolding(true);
+    entry->reservations.setDelayingAnswers(true);
     session->admit(question(), [](const auto &) {});
     fleet.settle();
     session.reset();
-    entry->reservations.setHolding(false);
+    entry->reservations.setDelayingAnswers(false);
     fleet.advance(std::chrono::seconds(30));
     EXPECT_EQ(reserved(), 0);
     EXPECT_EQ(entry->reservations.free(), SmallFleet::kTokens);
--- a/tests/radishswitch-entry/listedinstances_test.cpp
+++ b/tests/radishswitch-entry/listedinstances_test.cpp
@@ -83,12 +83,12 @@
     store.put("instances/agent-3", R"({"name":"agent-3","role":"agent","address":"agent-3:1"})", 0,
               [](const auto &) {});
     store.remove("instances/agent-2", store.objects().at("instances/agent-2").version, [](const auto &) {});
-    store.setAway(true);
+    store.setUnavailable(true);
     tasks.runAll();
     advance(std::chrono::seconds(2));
     EXPECT_EQ(instances.present().size(), 3u);
 
-    store.setAway(false);
+    store.setUnavailable(false);
     advance(std::chrono::milliseconds(500));
     ASSERT_EQ(instances.present().size(), 2u);
     EXPECT_EQ(instances.present()[1].name, "agent-3");
--- a/tests/radishswitch-gateway/newsofgateways_test.cpp
+++ b/tests/radishswitch-gateway/newsofgateways_test.cpp
@@ -107,11 +107,11 @@
 // Guards against reports that are lost with an outage of the store.
 TEST_F(NewsOfGatewaysTest, crashesWhileTheStoreIsAway_areKnownAfterIt)
 {
-    store.setAway(true);
+    store.setUnavailable(true);
     crash(one, 3);
     EXPECT_TRUE(one.detector.isBarred(request()));
     EXPECT_FALSE(two.detector.isBarred(request()));
-    store.setAway(false);
+    store.setUnavailable(false);
     pass(std::chrono::seconds(2));
     EXPECT_TRUE(two.detector.isBarred(request()));
 }
