--- a/src/libradishswitch/agents/agentroster.h
+++ b/src/libradishswitch/agents/agentroster.h
@@ -10,28 +10,31 @@
 namespace RadishSwitch
 {
 
-/// The agents that the platform lists, with those that it listed lately, to know where a run may have been sent
-/// presentSince some moment.
+/// The agents that the platform lists now or has listed lately. Tells to which agents a run may have been sent since a
+/// given time.
 ///
-/// An entry that dies before it told where it sent a run may have sent it to an agent that has gone since. Who
-/// looks only at the agents of today finds the run nowhere, takes it as not run and repeats an order that was placed.
+/// An entry process that dies before it has reported where it sent a run may have sent it to an agent that was removed
+/// from the list since. A search among the current agents alone would not find the run, would treat it as not run, and
+/// would repeat a request that had taken effect.
 class AgentRoster
 {
 public:
-    /// How long the gone are remembered: longer than any request stays open.
+    /// How long removed agents are remembered. Longer than any request stays open.
     static constexpr Duration kRetention = std::chrono::hours(24);
 
     AgentRoster(const AgentPort &agents, const TimerService &timers);
 
-    /// Compares the present agents with those of the last time. To be called every second or so.
+    /// Reads the list of agents and notes which ones were removed since the last call. To be called about once a
+    /// second.
     void refresh();
 
-    /// All agents that were there at this moment or later, as far as it was noticed.
+    /// All agents that were listed at `moment` or later, as far as the calls of `refresh` noticed them.
     std::vector<std::string> presentSince(Instant moment) const;
 
 private:
     struct RemovedAgent {
         std::string address;
+        /// When `refresh` first found the agent missing.
         Instant noticedAt;
     };
 
--- a/src/libradishswitch/base/apikeyhash.h
+++ b/src/libradishswitch/base/apikeyhash.h
@@ -6,8 +6,8 @@
 namespace RadishSwitch
 {
 
-/// The form in which the table keeps an API key: its SHA-256 in 64 lower-case hexadecimal digits. Keys are long random
-/// texts, so that a plain hash gives nothing away.
+/// The hash that the configuration table stores for an API key: its SHA-256 in 64 lower-case hexadecimal digits. API
+/// keys are long random strings, so a plain hash does not reveal them.
 std::string apiKeyHash(std::string_view key);
 
 }
--- a/src/libradishswitch/base/backoff.h
+++ b/src/libradishswitch/base/backoff.h
@@ -8,8 +8,8 @@
 namespace RadishSwitch
 {
 
-/// The pauses between tries: each twice the last up to a limit, drawn from their upper half so that many who failed
-/// together do not come back together.
+/// Exponential backoff with jitter. Each delay is twice the previous one up to a maximum, and is drawn at random from
+/// the upper half of that span, so that many clients that failed together do not retry together.
 class Backoff
 {
 public:
--- a/src/libradishswitch/base/callbackwithtimeout.h
+++ b/src/libradishswitch/base/callbackwithtimeout.h
@@ -13,8 +13,8 @@
 namespace RadishSwitch
 {
 
-/// A callback for a call of the store that is called once: with the answer, or with StoreTimeout once `deadline` has
-/// passed without one. An answer that comes later is dropped.
+/// Wraps the callback of a call to the object store. The callback is called once: with the answer, or with StoreTimeout
+/// when no answer arrived before `deadline`. A later answer is dropped.
 template<typename T>
 std::function<void(absl::StatusOr<T>)> callbackWithTimeout(TimerService &timers, Duration deadline,
                                                            std::function<void(absl::StatusOr<T>)> callback)
--- a/src/libradishswitch/base/decayingrate.h
+++ b/src/libradishswitch/base/decayingrate.h
@@ -5,14 +5,15 @@
 namespace RadishSwitch
 {
 
-/// An amount a second, averaged over a time in which the past fades.
+/// An amount per second, as an exponentially weighted moving average.
 class DecayingRate
 {
 public:
+    /// Adds an amount at time `now`.
     void note(double amount, Instant now, Duration averagingTime);
 
-    /// The average at `now` of what was noted within `span` before it; a shorter span than the averaging time is set
-    /// against the weight that it can have gathered.
+    /// The average at `now`, when amounts have been noted for the time `span` only. A `span` shorter than the averaging
+    /// time is corrected for: the sum is divided by the weight that it can have reached in that time.
     double perSecond(Instant now, Duration span, Duration averagingTime) const;
 
 private:
--- a/src/libradishswitch/base/failure.h
+++ b/src/libradishswitch/base/failure.h
@@ -10,10 +10,10 @@
 namespace RadishSwitch
 {
 
-/// Every way in which something can fail, each with a stable name that callers and operators see.
+/// All kinds of failures. Each has a stable name, which callers and operators see.
 enum class FailureCode {
     Internal,
-    // What callers did wrong.
+    // Errors of the caller.
     InvalidRequest,
     MissingKey,
     UnknownKey,
@@ -32,7 +32,7 @@
     RequestTooLarge,
     Overloaded,
     DeadlineExceeded,
-    /// Endpoints have crashed under this request; it is kept from the others.
+    /// Endpoints have crashed while they ran this request, so it is not sent to further endpoints.
     PoisonRequest,
     // Endpoints and runs.
     NoEndpoint,
@@ -70,7 +70,7 @@
     InvalidSettings,
 };
 
-/// What a caller may take a failure to mean for its request.
+/// What a caller may conclude from a failure about its request.
 enum class RunOutcome {
     NotRun,
     Unknown,
@@ -79,28 +79,29 @@
 /// The stable name of a code, such as "budget_exhausted".
 std::string_view failureName(FailureCode code);
 
-/// The code of a stable name, or nothing when there is none such.
+/// The code with this stable name, or nothing for an unknown name.
 std::optional<FailureCode> failureFromName(std::string_view name);
 
-/// The HTTP status with which a caller learns of a failure.
+/// The HTTP status with which the failure is reported to a caller.
 int httpStatusOf(FailureCode code);
 
-/// A status that carries its code as a payload. `message` is for people only; no code reads it.
+/// Creates a status that carries its code as a payload. `message` is for people only; no code evaluates it.
 absl::Status makeFailure(FailureCode code, const std::string &message);
 
-/// As above, with the time after which a new try can succeed.
+/// As above, with the time after which a retry can succeed.
 absl::Status makeFailure(FailureCode code, const std::string &message, std::chrono::milliseconds retryAfter);
 
-/// The same status, marked as one that may have taken effect: a caller must not read "not run" from it.
+/// Marks the status as that of a call that may have taken effect. The caller must not conclude from it that its request
+/// did not run.
 absl::Status withUnknownOutcome(absl::Status status);
 
-/// The code of a failed status. A status that carries none is Internal.
+/// The code of a failed status. Internal when the status carries no code.
 FailureCode failureCode(const absl::Status &status);
 
-/// Whether a failed status says that nothing ran.
+/// Whether a failed status means that nothing ran.
 RunOutcome outcomeOf(const absl::Status &status);
 
-/// When to come back, where the failure says so.
+/// The time after which to retry, if the failure states one.
 std::optional<std::chrono::milliseconds> retryAfterOf(const absl::Status &status);
 
 }
--- a/src/libradishswitch/base/fingerprint.h
+++ b/src/libradishswitch/base/fingerprint.h
@@ -6,7 +6,7 @@
 namespace RadishSwitch
 {
 
-/// SHA-256 in 64 lower-case hexadecimal digits.
+/// The SHA-256 of `text` in 64 lower-case hexadecimal digits.
 std::string sha256Hex(std::string_view text);
 
 }
--- a/src/libradishswitch/base/forwardingstore.h
+++ b/src/libradishswitch/base/forwardingstore.h
@@ -7,7 +7,7 @@
 namespace RadishSwitch
 {
 
-/// A store that passes every call on to another one: base of those that change how some calls are made.
+/// A store that forwards every call to another store. Base class of stores that change how some of the calls are made.
 class ForwardingStore : public ObjectStore
 {
 public:
--- a/src/libradishswitch/base/identifier.h
+++ b/src/libradishswitch/base/identifier.h
@@ -9,7 +9,8 @@
 namespace RadishSwitch
 {
 
-/// A name of one kind of thing. Two kinds do not mix: a portion's name is no request's name.
+/// A string identifier with a type of its own for each kind of object, so that, for example, a PortionId cannot be
+/// passed as a RequestId.
 template<typename Tag>
 class Identifier
 {
@@ -48,23 +49,23 @@
     std::string m_value;
 };
 
-/// A request, the same through caller, entry, agent and endpoint. Made of the budget and the caller's idempotency key,
-/// or fresh when the caller gave none.
+/// Identifies a request; the same at the caller, the entry process, the agent and the endpoint. Derived from the budget
+/// and the caller's idempotency key, or generated when the caller sent no key.
 using RequestId = Identifier<struct RequestTag>;
-/// One try at running a request at one endpoint.
+/// Identifies one attempt to run a request at one endpoint.
 using AttemptId = Identifier<struct AttemptTag>;
-/// A part of a budget handed to one holder.
+/// Identifies a portion: a part of a budget that one holder received to spend.
 using PortionId = Identifier<struct PortionTag>;
-/// One life of one process: fresh at each start, never used again.
+/// Identifies one incarnation of a process: generated at each start and never reused.
 using IncarnationId = Identifier<struct IncarnationTag>;
 /// An organisation (a customer).
 using OrganisationId = Identifier<struct OrganisationTag>;
 /// A pool of endpoints that serve the same thing.
 using PoolId = Identifier<struct PoolTag>;
-/// An endpoint instance: a replica of a model engine or of a plain service.
+/// An endpoint: an instance of a model engine or of a plain service.
 using EndpointId = Identifier<struct EndpointTag>;
 
-/// A budget's full name: its organisation and its own name there.
+/// The full name of a budget: its organisation, and its name within that organisation.
 struct BudgetId {
     OrganisationId organisation;
     std::string name;
@@ -78,7 +79,7 @@
         return H::combine(std::move(h), id.organisation, id.name);
     }
 
-    /// "organisation/name", as in records, logs and on the command line.
+    /// Returns "organisation/name", the form used in records, in logs and on the command line.
     std::string toString() const
     {
         return organisation.value() + "/" + name;
--- a/src/libradishswitch/base/lifetimetoken.h
+++ b/src/libradishswitch/base/lifetimetoken.h
@@ -6,12 +6,12 @@
 namespace RadishSwitch
 {
 
-/// Ties callbacks to the life of the object that holds the token: one that comes after the object's end is dropped
-/// instead of reaching into freed memory.
+/// Ties callbacks to the lifetime of the object that holds the token. A callback that arrives after the object was
+/// destroyed is dropped instead of accessing freed memory.
 class LifetimeToken
 {
 public:
-    /// Wraps a callback that must not run once the token is gone.
+    /// Wraps a callback that must not run after the token was destroyed.
     template<typename F>
     auto guard(F callback) const
     {
--- a/src/libradishswitch/base/namehash.h
+++ b/src/libradishswitch/base/namehash.h
@@ -9,7 +9,7 @@
 namespace RadishSwitch
 {
 
-/// 64 bits that stand for a name where the name itself would take too much memory.
+/// 64-bit hash of an identifier, for use where the identifier itself would take too much memory.
 template<typename Tag>
 std::uint64_t nameHash(const Identifier<Tag> &id)
 {
--- a/src/libradishswitch/base/objectstore.h
+++ b/src/libradishswitch/base/objectstore.h
@@ -12,28 +12,28 @@
 namespace RadishSwitch
 {
 
-/// One object of the platform's service, as it was read.
+/// An object of the platform's object store, as it was read.
 struct StoredObject {
     std::string key;
     std::string value;
-    /// Grows with every write of the service, over all objects. Zero stands for "no such object".
+    /// Increases with every write to the store, over all objects. Zero means that the object does not exist.
     std::uint64_t version = 0;
 
     bool operator==(const StoredObject &) const = default;
 };
 
-/// What a watch reports: the changed objects, with the version from which to watch on. An object that was removed has
-/// version zero.
+/// The result of a watch or a list: the changed objects, and the version from which to continue watching. An object
+/// that was removed has version zero.
 struct StoreChanges {
     std::vector<StoredObject> objects;
     std::uint64_t nextVersion = 0;
 };
 
-/// The platform's object API: versions, conditional updates, watches. Values up to a megabyte.
+/// The platform's object store, with versions, conditional updates and watches. Values may be up to one megabyte.
 ///
-/// Errors: StoreUnavailable when the call certainly had no effect; StoreTimeout when it may have had one (the answer
-/// was lost or late), so that a writer must read back; VersionConflict, ObjectMissing, ObjectTooLarge as named.
-/// Callbacks may come on any thread, never from inside the call itself.
+/// Errors: StoreUnavailable when the call certainly had no effect; StoreTimeout when it may have had one because the
+/// answer was lost or late, so that a writer must read the object again; VersionConflict, ObjectMissing and
+/// ObjectTooLarge as their names say. Callbacks may be called on any thread, but never from within the call itself.
 class ObjectStore
 {
 public:
@@ -44,27 +44,28 @@
 
     virtual void get(const std::string &key, Callback<StoredObject> callback) = 0;
 
-    /// Writes if the object's version still is `expectedVersion`; zero means that it must not exist. Gives the new
-    /// version.
+    /// Writes the object if its version is still `expectedVersion`; zero means that the object must not exist. Returns
+    /// the new version.
     virtual void put(const std::string &key, std::string value, std::uint64_t expectedVersion,
                      Callback<std::uint64_t> callback) = 0;
 
-    /// Removes the object if its version still is `expectedVersion`.
+    /// Removes the object if its version is still `expectedVersion`.
     virtual void remove(const std::string &key, std::uint64_t expectedVersion,
                         std::function<void(absl::Status)> callback) = 0;
 
-    /// All objects whose keys begin with `prefix`, with the version of the service at that moment in `nextVersion`.
+    /// Returns all objects whose keys begin with `prefix`, and in `nextVersion` the version of the store at that time.
     virtual void list(const std::string &prefix, Callback<StoreChanges> callback) = 0;
 
-    /// The same, perhaps as it was some seconds ago, where the store gives that at a lower price. A watch from its
-    /// version tells at once what has changed since. A store that has forgotten so much history has to be listed.
+    /// Like `list`, but the result may be some seconds old if the store offers that at a lower cost. A watch from the
+    /// returned version reports at once what has changed since. If the store no longer has the history from that
+    /// version on, call `list`.
     virtual void listRelaxed(const std::string &prefix, Callback<StoreChanges> callback)
     {
         list(prefix, std::move(callback));
     }
 
-    /// Waits for the first change under `prefix` after `fromVersion`; answers with no objects when none came within
-    /// the service's own bound. Counts as one call.
+    /// Waits for the first change under `prefix` after `fromVersion`. Returns no objects when there was none within the
+    /// time limit that the store itself sets. Counts as one call.
     virtual void watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback) = 0;
 };
 
--- a/src/libradishswitch/base/rendezvous.h
+++ b/src/libradishswitch/base/rendezvous.h
@@ -6,11 +6,11 @@
 namespace RadishSwitch
 {
 
-/// The hash by which a name takes part in rendezvous hashing.
+/// Hash of a name for rendezvous hashing.
 std::uint64_t rendezvousHash(std::string_view name);
 
-/// The score of a candidate for a key, both by their hashes. The candidate with the greatest score has the key; when
-/// it goes, only its own keys move.
+/// Score of a candidate for a key, both given by their hashes. A key belongs to the candidate with the highest score;
+/// when that candidate is removed, only its own keys move to others.
 std::uint64_t rendezvousScore(std::uint64_t candidate, std::uint64_t key);
 
 }
--- a/src/libradishswitch/base/storecalllimiter.h
+++ b/src/libradishswitch/base/storecalllimiter.h
@@ -8,10 +8,11 @@
 namespace RadishSwitch
 {
 
-/// The calls to the store that a process may make in a second, shared by all its shards; first come, first served.
+/// Limits the rate of calls to the object store that a process makes. All its shards share the limiter; calls run in
+/// the order in which they were requested.
 ///
-/// After an outage every shard of every process has something to write. Without a bound that herd would hold the store
-/// down; with it the writes trickle out at the rate of ordinary days.
+/// After an outage every shard of every process has something to write. Without a limit all these writes at once would
+/// overload the store again; with it they are spread out at the rate of normal operation.
 class StoreCallLimiter
 {
 public:
@@ -21,9 +22,10 @@
     StoreCallLimiter(const StoreCallLimiter &) = delete;
     StoreCallLimiter &operator=(const StoreCallLimiter &) = delete;
 
-    /// Runs `call` as soon as the budget allows: at once, inside this function, when it does now.
+    /// Runs `call` as soon as the rate allows. If that is now, `call` runs inside this function.
     void acquire(std::function<void()> call);
 
+    /// Number of calls that wait for their turn.
     std::size_t waiting() const;
 
 private:
--- a/src/libradishswitch/base/taskqueue.h
+++ b/src/libradishswitch/base/taskqueue.h
@@ -5,10 +5,10 @@
 namespace RadishSwitch
 {
 
-/// Runs work later, outside the caller's locks.
+/// Runs tasks later, outside the caller's locks.
 ///
-/// The decisions hand their answers out through it: a callback that ran in place would run under the lock of the
-/// table that decided, and one that called back into that table would wait for itself for ever.
+/// The classes that decide under a lock deliver their answers through it. A callback that ran immediately would run
+/// under the lock of the class that decided, and would deadlock if it called that class again.
 class TaskQueue
 {
 public:
--- a/src/libradishswitch/base/timerservice.h
+++ b/src/libradishswitch/base/timerservice.h
@@ -7,10 +7,10 @@
 namespace RadishSwitch
 {
 
-/// All spans of time inside the fleet are whole microseconds.
+/// All durations inside the fleet are in whole microseconds.
 using Duration = std::chrono::microseconds;
 
-/// The steady clock that the timer service hands out. Its zero has no meaning; only differences count.
+/// The steady clock of the timer service. Its epoch has no meaning; only differences between its time points do.
 struct ServiceClock {
     using rep = Duration::rep;
     using period = Duration::period;
@@ -19,32 +19,32 @@
     static constexpr bool is_steady = true;
 };
 
-/// A moment of the timer service.
+/// A time point of the timer service.
 using Instant = ServiceClock::time_point;
 
-/// Names a subscription or a single shot, for its cancellation. Zero names none.
+/// Identifies a periodic or a single-shot timer, for its cancellation. Zero identifies no timer.
 using TimerId = std::uint64_t;
 
-/// The one source of time. Parts subscribe to it; none of them reads a clock or sleeps, so that a test can move time
-/// by hand.
+/// The only source of time. No other class reads a clock or sleeps, so that a test can control time.
 class TimerService
 {
 public:
     virtual ~TimerService() = default;
 
-    /// The present moment. Never goes back.
+    /// The current time. Never goes back.
     virtual Instant now() const = 0;
 
-    /// The wall clock in milliseconds since 1970, for records that people read. Never used in a decision.
+    /// The wall clock in milliseconds since 1970, for records that people read. Never used for a decision.
     virtual std::int64_t wallClockMilliseconds() const = 0;
 
-    /// Calls `callback` once, `delay` from now. A delay of zero or less fires at the next turn.
+    /// Calls `callback` once, after `delay`. With a delay of zero or less it is called at the next opportunity, but not
+    /// inside this call.
     virtual TimerId after(Duration delay, std::function<void()> callback) = 0;
 
     /// Calls `callback` every `interval` until it is cancelled.
     virtual TimerId every(Duration interval, std::function<void()> callback) = 0;
 
-    /// Forgets a timer. A timer that has fired already, or that never was, is ignored.
+    /// Cancels a timer. A timer that has fired already or that never existed is ignored.
     virtual void cancel(TimerId id) = 0;
 };
 
--- a/src/libradishswitch/base/tokenbucket.h
+++ b/src/libradishswitch/base/tokenbucket.h
@@ -5,23 +5,24 @@
 namespace RadishSwitch
 {
 
-/// A rate with a burst: fills by `rate` a second up to `burst`.
+/// A token bucket: it fills with `rate` tokens per second up to `burst`.
 ///
-/// A cost above the burst may be taken from a full bucket, which is then in debt; else it could never be taken at all.
+/// A cost above `burst` may be taken from a full bucket, whose level then becomes negative; otherwise it could never be
+/// taken.
 class TokenBucket
 {
 public:
     TokenBucket() = default;
-    /// Begins full.
+    /// The bucket starts full.
     TokenBucket(double rate, double burst, Instant now);
 
-    /// How long until `cost` can be taken; zero when it can be now.
+    /// Time until `cost` can be taken; zero when it can be taken now.
     Duration waitFor(double cost, Instant now) const;
 
     void take(double cost, Instant now);
     void refund(double amount, Instant now);
 
-    /// Changes rate and burst. What is in the bucket stays, up to the new burst: changing a rate hands nothing out.
+    /// Changes rate and burst. The level stays as it is, up to the new burst, so that changing a rate adds no tokens.
     void setRate(double rate, double burst, Instant now);
 
     double rate() const
--- a/src/libradishswitch/membership/entrydirectory.h
+++ b/src/libradishswitch/membership/entrydirectory.h
@@ -9,20 +9,21 @@
 
 enum class EntryLiveness {
     Alive,
-    /// Silent, and so is all that stands with it: it may well be serving callers on the other side of a partition.
+    /// The entry process is silent, and so are all others of its region. It may well be serving callers on the other
+    /// side of a network partition.
     Unreachable,
-    /// Gone from the platform's list, or silent while others of its region are heard.
+    /// The entry process was removed from the platform's list, or is silent while others of its region send heartbeats.
     Dead,
 };
 
-/// What this process knows of the other entries. A wrong answer costs time, never a promise: a key owner that is taken
-/// for dead while it lives is fenced off at the agents by its epoch.
+/// The liveness of the other entry processes, as this process sees it. A wrong answer costs time but breaks no
+/// guarantee: a key owner that is taken for dead while it is alive is fenced off by its epoch at the agents.
 class EntryDirectory
 {
 public:
     virtual ~EntryDirectory() = default;
 
-    /// `address` is where that incarnation was; another one heard there shows that it is gone.
+    /// `address` is where that incarnation was listening. If another incarnation is heard there, that one has ended.
     virtual EntryLiveness livenessOf(const IncarnationId &incarnation, const std::string &region,
                                      const std::string &address) const = 0;
 };
--- a/src/libradishswitch/membership/entrymember.h
+++ b/src/libradishswitch/membership/entrymember.h
@@ -8,7 +8,7 @@
 namespace RadishSwitch
 {
 
-/// What an entry process says of itself with each heartbeat.
+/// The content of an entry process's heartbeat.
 struct EntryMember {
     IncarnationId incarnation;
     std::string address;
@@ -16,7 +16,7 @@
     std::string region;
     bool isLeaving = false;
     std::uint64_t tableRevision = 0;
-    /// Grows with every heartbeat of one incarnation.
+    /// Increases with every heartbeat of an incarnation.
     std::uint64_t sequence = 0;
 
     bool operator==(const EntryMember &) const = default;
--- a/src/libradishswitch/membership/fleetmembership.h
+++ b/src/libradishswitch/membership/fleetmembership.h
@@ -17,75 +17,85 @@
 namespace RadishSwitch
 {
 
-/// What it takes to hold an entry for dead, so that its portions may be closed.
+/// When an entry process counts as dead, so that the budget portions it holds may be closed.
 enum class DeathRule {
-    /// Silent for `deadAfter`, and the platform does not list its address.
+    /// No heartbeat for `deadAfter`, and the platform does not list its address.
     SilentAndUnlisted,
-    /// Unlisted and silent for `suspectAfter`: sooner, and wrong when the list misses an entry that is slow.
+    /// No heartbeat for `suspectAfter`, and not listed. Detects death sooner, but wrongly when the list misses an entry
+    /// process that is slow.
     Unlisted,
-    /// Silent for `deadAfter`, whatever the list says: for platforms whose list keeps the dead for long.
+    /// No heartbeat for `deadAfter`, regardless of the list. For platforms that keep dead instances in their list for
+    /// long.
     Silent,
 };
 
 struct MembershipSettings {
+    /// An entry process without a heartbeat for this long is not live: it gets no work.
     Duration suspectAfter = std::chrono::seconds(3);
+    /// An entry process without a heartbeat for this long may be declared dead, by the death rule.
     Duration deadAfter = std::chrono::seconds(30);
-    /// An incarnation that was never heard of is held for dead after this process has listened for as long.
+    /// An incarnation that never sent a heartbeat to this process, and whose address is not known, counts as dead once
+    /// this process has been listening for this long.
     Duration unknownDeadAfter = std::chrono::minutes(10);
     DeathRule deathRule = DeathRule::SilentAndUnlisted;
-    /// How far the platform's list may lag: for as long after a restart, a "leaving" from before it is not believed.
+    /// Upper bound on the lag of the platform's list. For this long after an entry process restarted, a "leaving" that
+    /// the list already showed before the restart is ignored.
     Duration listLag = std::chrono::seconds(10);
 };
 
-/// The entries of the fleet, from their heartbeats, their silence and the platform's list.
+/// The entry processes of the fleet, from their heartbeats, the absence of heartbeats, and the platform's list.
 ///
-/// Nothing that must hold rests on it: two processes may see different members at the same moment. It decides who is
-/// asked first, and who does the work.
+/// No guarantee depends on this class: two processes may see different members at the same time. It only decides which
+/// process is asked first and which one does the work.
 class FleetMembership
 {
 public:
-    /// `now` is when this process began to listen.
+    /// `now` is when this process began to listen for heartbeats.
     FleetMembership(TaskQueue &tasks, Instant now, MembershipSettings settings = {});
 
-    /// Takes in a heartbeat, this process's own included. False when it was ignored: an old sequence number, or an
-    /// incarnation whose address has a later one.
+    /// Applies a heartbeat; this process's own heartbeats are applied, too. Returns false when the heartbeat is ignored
+    /// because its sequence number is not newer than the last one, or because a later incarnation was heard at its
+    /// address.
     bool applyHeartbeat(const EntryMember &member, Instant now);
 
-    /// The platform lists an entry instance of this address.
+    /// The platform lists an instance of an entry process with this address.
     void applyListed(const std::string &address, bool isLeaving, Instant now);
     void applyUnlisted(const std::string &address, Instant now);
 
-    /// The connection to the entry broke or went silent. Holds until its next heartbeat.
+    /// The connection to the entry process broke or timed out. It is not live until its next heartbeat.
     void markUnreachable(const IncarnationId &incarnation, Instant now);
 
-    /// Finds members that have become silent. Call it several times a second.
+    /// Updates which members are live after time has passed, and removes those that have long been silent. To be called
+    /// several times a second.
     void updateLiveness(Instant now);
 
-    /// The entries that are heard from and not leaving, in the order of their addresses. An empty region gives all.
+    /// The live entry processes of the region: those that send heartbeats, are reachable and not leaving. Sorted by
+    /// address. An empty region returns those of all regions.
     std::vector<EntryMember> liveEntries(const std::string &region) const;
 
     std::size_t liveCount(const std::string &region) const;
 
-    /// The place of an entry among the live ones of its region, from zero; nothing when it is not live.
+    /// The place of an entry process among the live ones of its region, counted from zero. Nothing when it is not live.
     std::optional<std::size_t> rankOf(const IncarnationId &incarnation) const;
 
-    /// The live entry of the region that has this shard; nothing when none lives there.
+    /// The live entry process of the region that is the home of this shard. Nothing when the region has no live entry
+    /// process.
     std::optional<EntryMember> homeOf(std::uint32_t shard, const std::string &region) const;
 
-    /// Whether the entry is held for dead, by the death rule. For one that this process has never heard of, the address
-    /// that it was known by tells whether its instance is listed.
+    /// Whether the entry process counts as dead by the death rule. If this process never heard from the incarnation,
+    /// `address`, at which others knew it, tells whether its instance is listed.
     bool isDead(const IncarnationId &incarnation, Instant now, const std::string &address = {}) const;
 
-    /// The `count` live entries of the zone that watch the store for the others.
+    /// The `count` live entry processes of the zone that watch the object store on behalf of the others there.
     std::vector<EntryMember> watchersOfZone(const std::string &zone, std::size_t count) const;
 
-    /// The endpoints with which the entry `me` keeps control connections: all of them if `size` says so, else about
-    /// `size`, such that all live entries of the region together cover each endpoint equally often. A change of one
-    /// entry or endpoint moves few.
+    /// The endpoints to which the entry process `me` keeps control connections: all of them when there are no more than
+    /// `size`, else about `size`. The live entry processes of the region together cover each endpoint equally often.
+    /// When one entry process or endpoint comes or goes, few connections change.
     std::vector<EndpointId> subsetOf(const std::vector<EndpointId> &endpoints, const IncarnationId &me,
                                      std::size_t size) const;
 
-    /// Calls `callback` through the task queue after each change of the live entries.
+    /// Calls `callback` through the task queue after each change of the set of live entry processes.
     void subscribe(std::function<void()> callback);
 
 private:
@@ -94,7 +104,7 @@
         std::uint64_t hash = 0;
         Instant firstHeartbeatAt{};
         Instant lastHeartbeatAt{};
-        /// Whether an earlier incarnation was heard at its address.
+        /// Whether an earlier incarnation was heard at the same address.
         bool isRestart = false;
         bool isUnreachable = false;
         bool isSuperseded = false;
@@ -112,7 +122,7 @@
     };
 
     bool isConsideredLive(const MemberState &state, Instant now) const;
-    /// Gives whether there were any.
+    /// Marks the earlier incarnations at the member's address as superseded. Returns whether there were any.
     bool supersedeEarlier(const EntryMember &member);
     bool isListedAsLeaving(const MemberState &state, Instant now) const;
     void refresh(Instant now);
--- a/src/libradishswitch/membership/leaseholder.h
+++ b/src/libradishswitch/membership/leaseholder.h
@@ -13,22 +13,24 @@
 {
 
 struct LeaseSettings {
-    /// A rival takes a lease over that it has seen unchanged for as long.
+    /// Another process takes over a lease that it has seen unchanged for this long.
     Duration leaseDuration = std::chrono::seconds(10);
+    /// Interval between renewals, and between attempts to acquire the lease.
     Duration renewInterval = std::chrono::seconds(3);
-    /// The holder trusts its lease up to this part of `leaseDuration` after it began the last renewal that went well.
+    /// The holder relies on its lease for this fraction of `leaseDuration`, counted from the start of its last
+    /// successful renewal.
     double trustedShare = 0.6;
 };
 
-/// A lease on an object of the store, with a fencing number that grows with each change of holder.
+/// A lease on an object of the object store, with a fencing number that increases whenever the holder changes.
 ///
-/// No clocks are compared: a rival waits on its own clock from the moment at which it saw the lease change, and the
-/// holder counts on its own from before it asked for the change, so the holder stops first. A holder that is
-/// paused between asking for its fence and using it is not stopped by that; the receivers of its orders refuse the
-/// fence (OrderGate).
+/// No clocks are compared. A rival process measures on its own clock from the time at which it saw the lease change.
+/// The holder measures on its own clock from before it requested the change, so that the holder stops first. This does
+/// not stop a holder that is paused between reading its fencing number and using it; the receivers of its orders
+/// therefore refuse old fencing numbers (OrderGate).
 ///
-/// The store's answers must come under the same lock as the calls. All calls between `start` and `release` keep one
-/// timer and at most one call to the store under way.
+/// The store's answers must be delivered under the same lock as the calls of this class. Between `start` and `release`
+/// the class uses one timer, and has at most one call to the store under way.
 class LeaseHolder
 {
 public:
@@ -38,21 +40,22 @@
     LeaseHolder(const LeaseHolder &) = delete;
     LeaseHolder &operator=(const LeaseHolder &) = delete;
 
-    /// Begins to try for the lease, and to renew it once it is held.
+    /// Starts trying to acquire the lease, and renews it once it is held.
     void start();
 
-    /// Gives the lease up, so that a rival need not wait.
+    /// Gives up the lease, so that a rival does not have to wait until it expires.
     void release();
 
-    /// The fencing number, while this process may act as the holder.
+    /// The fencing number while this process may act as the lease holder, else nothing.
     std::optional<std::uint64_t> fence() const;
 
 private:
-    /// The object's content.
+    /// The content of the lease object.
     struct Lease {
         std::string holder;
         std::uint64_t fence = 0;
-        /// Grows with each renewal, so that the object's version shows that its holder lives.
+        /// Increases with each renewal. The write changes the version of the object, which shows rivals that the holder
+        /// is alive.
         std::uint64_t renewals = 0;
     };
 
@@ -78,7 +81,8 @@
     Instant m_confirmedAt{};
     std::uint64_t m_rivalVersion = 0;
     Instant m_rivalVersionSeenAt{};
-    /// Answers that come after this object's end find it empty.
+    /// Shared with the callbacks of the store; set to null by the destructor, so that answers that arrive later are
+    /// dropped.
     std::shared_ptr<LeaseHolder *> m_self;
 };
 
--- a/src/libradishswitch/membership/listedinstance.h
+++ b/src/libradishswitch/membership/listedinstance.h
@@ -7,8 +7,8 @@
 namespace RadishSwitch
 {
 
-/// An endpoint as the platform's list of instances shows it. The list lags: it names some that are gone and lacks some
-/// that live.
+/// An endpoint in the platform's list of instances. The list lags: it contains endpoints that no longer exist, and
+/// lacks some that do.
 struct ListedInstance {
     EndpointId endpoint;
     std::string address;
--- a/src/libradishswitch/routing/defaultpolicy.h
+++ b/src/libradishswitch/routing/defaultpolicy.h
@@ -7,12 +7,14 @@
 namespace RadishSwitch
 {
 
-/// The least expected time to the first token among a few endpoints: the next ones in turn, and those that hold the
-/// most of the prompt in their cache unless they are busier than the rest.
+/// Chooses the endpoint with the lowest expected time to the first token. The policy does not score every endpoint of
+/// the pool: it scores a few, taken in rotation, and those whose prefix cache holds the longest part of the prompt,
+/// unless these are much busier than the others.
 ///
-/// Endpoints that differ by less than what is uncertain about their load count as equal, and the first in turn gets
-/// the work. So with fresh reports the least busy one is found; with old ones the work goes round, but for endpoints
-/// that are clearly worse, and a herd of processes does not run after the same old news.
+/// Endpoints count as equal while their costs differ by less than the uncertainty of their load, and the first of them
+/// in the rotation is chosen. With fresh reports the policy therefore finds the least busy endpoint. With old reports
+/// it goes round robin and only skips endpoints that are clearly worse, so that many router processes do not all send
+/// to the endpoint that was idle in the same old report.
 class DefaultPolicy : public RoutingPolicy
 {
 public:
--- a/src/libradishswitch/routing/ejectionsettings.h
+++ b/src/libradishswitch/routing/ejectionsettings.h
@@ -5,17 +5,20 @@
 namespace RadishSwitch
 {
 
-/// When an endpoint that fails is left out, and for how long.
+/// When an endpoint that fails gets no more runs (is ejected), and for how long.
 struct EjectionSettings {
+    /// An endpoint is ejected after this many failed runs in a row.
     int consecutiveFailures = 5;
-    /// Share of failures in a window of `window`, with at least `minimumWindowRuns` runs.
+    /// An endpoint is also ejected when at least this share of the runs within one `window` failed, once the window has
+    /// counted `minimumWindowRuns` runs.
     double failureShare = 0.5;
     int minimumWindowRuns = 10;
     Duration window = std::chrono::seconds(10);
-    /// The first ejection; each further one lasts twice as long, up to the longest.
+    /// Duration of an endpoint's first ejection. Each further ejection lasts twice as long as the one before, up to
+    /// `longestEjection`.
     Duration firstEjection = std::chrono::seconds(3);
     Duration longestEjection = std::chrono::seconds(60);
-    /// At most this share of a pool's endpoints is ejected at a time.
+    /// At most this share of a pool's eligible endpoints is ejected at the same time.
     double maximumEjectedShare = 0.5;
 };
 
--- a/src/libradishswitch/routing/endpointactivity.h
+++ b/src/libradishswitch/routing/endpointactivity.h
@@ -9,19 +9,19 @@
 namespace RadishSwitch
 {
 
-/// What this process itself has done with one endpoint: runs under way, runs that the last report can't know of, and
-/// how they went.
+/// The runs that this process has sent to one endpoint: how many are under way, which of them the last report cannot
+/// include yet, and how earlier ones ended.
 class EndpointActivity
 {
 public:
     void noteDispatched(Instant now);
     void noteFirstToken(Instant now);
 
-    /// Gives the time that runs have spent here since the last one ended, summed over the runs. Its mean over many
-    /// ends is the mean duration of a run (Little's law), without knowing which run it was that ended.
+    /// Returns the time that all runs together have spent at the endpoint since the last run ended. Averaged over many
+    /// ends, this is the mean duration of a run (Little's law), and it needs no record of when each single run began.
     Duration noteFinished(RunEnd end, Instant now);
 
-    /// A load measured at `measuredAt` was taken in.
+    /// The directory applied a load that was measured at `measuredAt`.
     void noteReported(Instant measuredAt);
 
     int inFlight() const
@@ -29,13 +29,15 @@
         return m_inFlight;
     }
 
-    /// Runs of this process that were under way when the last load was measured, and so are part of it.
+    /// Number of this process's runs that were under way when the last reported load was measured, and are therefore
+    /// part of it.
     int inFlightWhenMeasured() const
     {
         return m_inFlight - m_changeSinceMeasured;
     }
 
-    /// How long runs have been waiting here without a first token coming from any of them; zero when none waits.
+    /// How long this process's runs at the endpoint have waited while no run there got its first token. Zero when no
+    /// run waits for its first token.
     Duration stalledFor(Instant now) const;
 
     EndpointEjection &ejection()
@@ -51,7 +53,7 @@
     Instant startedAt{};
 
 private:
-    /// A run more or a run less.
+    /// A run that began (+1) or ended (-1).
     struct InFlightChange {
         Instant at;
         int difference = 0;
--- a/src/libradishswitch/routing/endpointdirectory.h
+++ b/src/libradishswitch/routing/endpointdirectory.h
@@ -16,41 +16,48 @@
 {
 
 struct DirectorySettings {
-    /// An endpoint that is silent for as long gets no new work.
+    /// An endpoint whose agent has not reported for this long gets no new work.
     Duration suspectAfter = std::chrono::seconds(2);
-    /// How far the platform's list may lag: for as long after a fresh start, a "leaving" from before it is not
-    /// believed.
+    /// Upper bound on the lag of the platform's list. For this long after an agent restarted, the directory ignores a
+    /// "leaving" that the list already showed before the restart.
     Duration listLag = std::chrono::seconds(10);
-    /// A silent endpoint that is not listed is forgotten after as long.
+    /// An endpoint that is not listed is removed when its agent has not reported for this long.
     Duration removeAfter = std::chrono::seconds(60);
 };
 
-/// The endpoints that this process knows, from three sources: the agent's word, its silence, the platform's list.
+/// The endpoints that this process knows. Their state has three sources: the reports of the agents, the absence of
+/// reports, and the platform's list of instances.
 ///
-/// The first bad news wins: an endpoint that is leaving by any source, silent, unhealthy or cut off gets no new work.
-/// Good news has to come from the agent: an endpoint that is only listed is never chosen, while one that is heard from
-/// stays eligible also when the list lacks it.
+/// Bad news from any source takes effect: an endpoint that the agent or the list says is leaving, that is silent or
+/// unhealthy, or whose connection is lost, gets no new work. Good news counts only from the agent: an endpoint that is
+/// only listed is never chosen, while an endpoint whose agent reports stays eligible even if the list does not contain
+/// it.
 class EndpointDirectory
 {
 public:
     explicit EndpointDirectory(DirectorySettings settings = {});
 
-    /// One observer, or none. Told in place, in the thread of the caller.
+    /// Sets the only observer, or removes it with null. The directory calls the observer synchronously, in the thread
+    /// that changes the directory.
     void setObserver(EndpointObserver *observer);
 
-    /// Takes in an agent's report. False when it was ignored: an old sequence number, or an earlier incarnation.
+    /// Applies an agent's report. Returns false when the report is ignored because its sequence number is not newer
+    /// than the last one, or because it comes from an earlier incarnation.
     bool applyReport(const EndpointReport &report, Instant now);
 
-    /// Takes in a load that came with an answer, between two reports. Ignored when a later one is known.
+    /// Applies a load that came with an answer, between two reports. It is ignored when the directory already has a
+    /// load that was measured later.
     void applyLoad(const EndpointId &endpoint, const EndpointLoad &load, Instant now);
 
     void applyListed(const ListedInstance &instance, Instant now);
     void applyUnlisted(const EndpointId &endpoint, Instant now);
 
-    /// The connection to the endpoint's agent broke or went silent. Holds until the next report.
+    /// The connection to the endpoint's agent broke or timed out. The endpoint gets no new work until its agent's next
+    /// report.
     void noteConnectionLost(const EndpointId &endpoint, Instant now);
 
-    /// Forgets endpoints that have been silent for long and are not listed. Call it every few seconds.
+    /// Removes endpoints that are not listed and whose agents have not reported for `DirectorySettings::removeAfter`.
+    /// To be called every few seconds.
     void removeSilent(Instant now);
 
     EndpointStatus status(EndpointSlot slot, Instant now) const;
@@ -69,13 +76,13 @@
     const EndpointState *find(const EndpointId &endpoint) const;
     std::optional<EndpointSlot> slotOf(const EndpointId &endpoint) const;
 
-    /// Every endpoint of the pool that answers for the model, eligible or not. An endpoint that names no model answers
-    /// for all; an empty `model` gives the whole pool.
+    /// Every endpoint of the pool that serves the model, eligible or not. If no endpoint names the model, those
+    /// endpoints are returned that name no models at all and so serve any. An empty `model` returns the whole pool.
     const std::vector<EndpointSlot> &serving(const PoolId &pool, const std::string &model) const;
 
     std::vector<PoolId> pools() const;
 
-    /// One more than the greatest slot in activity.
+    /// Upper bound of the slots: every slot in use is below this number.
     std::size_t slotLimit() const
     {
         return m_states.size();
--- a/src/libradishswitch/routing/endpointejection.h
+++ b/src/libradishswitch/routing/endpointejection.h
@@ -5,20 +5,24 @@
 namespace RadishSwitch
 {
 
-/// Judges one endpoint by how its runs end: in use, ejected, or on probation with one run at a time.
+/// Circuit breaker of one endpoint. The endpoint is in use, ejected after too many failed runs, or, once the ejection
+/// has ended, on probation: it then gets one run at a time. A success puts it back in use, a failure ejects it again.
 class EndpointEjection
 {
 public:
-    /// Whether the endpoint may get a run now. An endpoint whose ejection is over gets one, the probe.
+    /// Whether the endpoint may get a run now. After its ejection has ended, an endpoint may get one run at a time, the
+    /// probe.
     bool isAllowed(Instant now) const;
 
     bool isEjected(Instant now) const;
 
     void noteDispatched(Instant now);
     void noteSucceeded(const EjectionSettings &settings, Instant now);
+    /// A run ended in a way that says nothing about the endpoint, such as a cancellation.
     void noteNeutral();
 
-    /// Gives whether the failures now suffice for an ejection. Nothing happens before `eject`.
+    /// Counts a failed run and returns whether the endpoint should be ejected now. The caller decides, and calls
+    /// `eject`.
     bool noteFailed(const EjectionSettings &settings, Instant now);
 
     void eject(const EjectionSettings &settings, Instant now);
--- a/src/libradishswitch/routing/endpointorder.h
+++ b/src/libradishswitch/routing/endpointorder.h
@@ -9,21 +9,21 @@
 {
 
 enum class OrderKind {
-    /// Replace the model's version; the endpoint serves nothing meanwhile.
+    /// Replaces the version of the model. The endpoint serves no requests during the change.
     SetVersion,
     LoadAdapter,
     UnloadAdapter,
 };
 
-/// What the holder of a pool's lease tells an endpoint to do.
+/// A command to an endpoint, from the process that holds the lease of the endpoint's pool.
 struct EndpointOrder {
     PoolId pool;
     EndpointId endpoint;
-    /// The lease's fencing number, and the order's place among those of that holder.
+    /// The fencing number of the lease, and the sequence number of the order among the orders of that lease holder.
     std::uint64_t fence = 0;
     std::uint64_t number = 0;
     OrderKind kind = OrderKind::SetVersion;
-    /// A version or an adapter.
+    /// The version to set, or the adapter to load or unload.
     std::string name;
 
     bool operator==(const EndpointOrder &) const = default;
--- a/src/libradishswitch/routing/endpointreport.h
+++ b/src/libradishswitch/routing/endpointreport.h
@@ -11,38 +11,38 @@
 namespace RadishSwitch
 {
 
-/// A change of an endpoint's prefix cache. Events of one incarnation are numbered without holes, so that a listener
-/// sees when it missed one.
+/// A change of an endpoint's prefix cache. The events of one incarnation are numbered without gaps, so that a listener
+/// notices when it missed one.
 struct CacheEvent {
     std::uint64_t sequence = 0;
-    /// Stored, or else evicted.
+    /// True when the prefixes were stored in the cache, false when they were evicted.
     bool isStored = false;
     std::vector<std::uint64_t> prefixHashes;
 
     bool operator==(const CacheEvent &) const = default;
 };
 
-/// How busy an endpoint was a while ago.
+/// The load of an endpoint at the time when its agent measured it.
 struct EndpointLoad {
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
-    /// Runs that the endpoint serves at once. Zero when it does not say.
+    /// Number of runs that the endpoint serves at the same time. Zero when the endpoint does not report it.
     std::uint32_t capacity = 0;
-    /// Tokens in the endpoint's queue ahead of new work.
+    /// Number of tokens of the runs that are queued at the endpoint ahead of new work.
     std::int64_t queuedTokens = 0;
-    /// Speed over all runs together, measured by the agent. Zero when nothing was measured yet.
+    /// Tokens per second of all runs together, as measured by the agent. Zero when nothing was measured yet.
     double tokensPerSecond = 0;
-    /// How old the figures were when they arrived.
+    /// Time from the measurement until the figures arrived at this process.
     Duration age{};
 
     bool operator==(const EndpointLoad &) const = default;
 };
 
-/// What an agent tells of its endpoint.
+/// The periodic report of an agent about its endpoint.
 struct EndpointReport {
     EndpointId endpoint;
     IncarnationId incarnation;
-    /// Grows with every report of one incarnation.
+    /// Increases with every report of an incarnation.
     std::uint64_t sequence = 0;
     PoolId pool;
     std::string address;
@@ -51,11 +51,11 @@
     bool isLeaving = false;
     bool isHealthy = true;
     EndpointLoad load;
-    /// How long this life of the agent had lasted when it reported; nothing when it did not say.
+    /// How long ago the agent process had started when it sent the report. Empty when the agent did not say.
     std::optional<Duration> uptime;
-    /// Models that the endpoint answers for. Empty for a plain service.
+    /// Models that the endpoint serves. Empty for a plain service, which has no models.
     std::vector<std::string> models;
-    /// Adapters in its memory, each named "model:adapter".
+    /// Adapters that are loaded at the endpoint, each named "model:adapter".
     std::vector<std::string> adapters;
     std::vector<CacheEvent> cacheEvents;
 
--- a/src/libradishswitch/routing/endpointstate.h
+++ b/src/libradishswitch/routing/endpointstate.h
@@ -9,10 +9,10 @@
 namespace RadishSwitch
 {
 
-/// Where the directory keeps an endpoint: small, dense numbers, used again once an endpoint is forgotten.
+/// Index of an endpoint in the directory. The indexes are small and dense; the index of a removed endpoint is reused.
 using EndpointSlot = std::uint32_t;
 
-/// Whether an endpoint may get new work, and if not, why.
+/// Whether an endpoint may get new work, and the reason if it may not.
 enum class EndpointStatus {
     Eligible,
     NeverReported,
@@ -22,13 +22,14 @@
     Unhealthy,
 };
 
-/// What is known of one endpoint from its agent, from its silence and from the platform's list.
+/// Everything that this process knows about one endpoint, from its agent's reports, from the time since the last
+/// report, and from the platform's list.
 struct EndpointState {
     EndpointId endpoint;
-    /// By which it takes part in rendezvous hashing.
+    /// Hash of the endpoint's name for rendezvous hashing.
     std::uint64_t hash = 0;
     IncarnationId incarnation;
-    /// Earlier lives of the endpoint, the latest last, whose late reports are ignored.
+    /// Earlier incarnations of the endpoint, the latest last. Reports of these that arrive late are ignored.
     std::vector<IncarnationId> pastIncarnations;
     std::uint64_t sequence = 0;
     PoolId pool;
@@ -38,10 +39,11 @@
     std::vector<std::string> models;
     std::vector<std::string> adapters;
     EndpointLoad load;
-    /// The moment at which the load was measured, by this process's clock.
+    /// When the load was measured, by this process's clock.
     Instant loadMeasuredAt{};
     Instant firstReportAt{};
-    /// Not before this life of the agent started, by this process's clock; the report's way here makes it later.
+    /// The latest time at which this incarnation of the agent can have started, by this process's clock. It is later
+    /// than the true start by the time that the report took to arrive.
     Instant startedAtLatest{};
     Instant lastReportAt{};
     bool hasReported = false;
@@ -50,7 +52,7 @@
     bool isListed = false;
     bool isLeavingByAgent = false;
     bool isLeavingByList = false;
-    /// The list's last word, also when it is not believed.
+    /// Whether the list last showed the endpoint as leaving, even when the directory ignored that.
     bool isListedAsLeaving = false;
 };
 
--- a/src/libradishswitch/routing/leastoutstandingpolicy.h
+++ b/src/libradishswitch/routing/leastoutstandingpolicy.h
@@ -5,7 +5,8 @@
 namespace RadishSwitch
 {
 
-/// The endpoint with the fewest runs of this process under way; among equals, each in turn.
+/// Chooses the endpoint with the fewest runs of this process under way. Endpoints with equally many runs are chosen in
+/// rotation.
 class LeastOutstandingPolicy : public RoutingPolicy
 {
 public:
--- a/src/libradishswitch/routing/poolload.h
+++ b/src/libradishswitch/routing/poolload.h
@@ -3,17 +3,17 @@
 namespace RadishSwitch
 {
 
-/// What a pool's endpoints have in common, learnt from their reports and from this process's own runs.
+/// Moving averages over the endpoints of a pool, from their reports and from the runs of this process.
 struct PoolLoad {
-    /// Mean of the reported runs over capacity.
+    /// Mean of an endpoint's reported runs divided by its capacity.
     double utilisation = 0;
-    /// Mean of the reported runs, and of those of them that are this process's.
+    /// Mean number of an endpoint's reported runs, and the mean number of those that this process sent.
     double runs = 0;
     double ownRuns = 0;
-    /// How long a run takes, its time in the endpoint's queue included.
+    /// Mean duration of a run in seconds, including its time in the endpoint's queue.
     double runSeconds = 2;
 
-    /// The part of the pool's work that this process sends, from 0 to 1.
+    /// The share of the pool's runs that this process sends, from 0 to 1.
     double ownShare() const
     {
         return runs > 0 ? (ownRuns < runs ? ownRuns / runs : 1) : 1;
--- a/src/libradishswitch/routing/poolorderplanner.h
+++ b/src/libradishswitch/routing/poolorderplanner.h
@@ -13,7 +13,7 @@
 namespace RadishSwitch
 {
 
-/// What a pool's endpoints should be, from the table.
+/// The desired state of the endpoints of a pool, from the configuration table. An empty version stands for any.
 struct DesiredPool {
     std::string version;
     std::vector<std::string> adapters;
@@ -21,37 +21,39 @@
     bool operator==(const DesiredPool &) const = default;
 };
 
-/// What an endpoint is, from its agent's reports.
+/// The actual state of an endpoint, from its agent's reports.
 struct ReportedEndpoint {
     EndpointId endpoint;
     std::string version;
     std::vector<std::string> adapters;
     bool isEligible = true;
-    /// An order is being carried out, whoever gave it.
+    /// The endpoint is carrying out an order, no matter which lease holder sent it.
     bool isChanging = false;
 
     bool operator==(const ReportedEndpoint &) const = default;
 };
 
 struct OrderSettings {
-    /// Loads that the weight store takes in the long run; each order that loads something counts as one.
+    /// How many loads per second the store of model weights sustains. Each order that loads a version or an adapter
+    /// counts as one load.
     double loadsPerSecond = 0.2;
-    /// Endpoints of a pool that change their version at once.
+    /// How many endpoints of a pool may change their version at the same time.
     std::size_t maximumChanging = 2;
-    /// The part of the pool's endpoints that stays eligible during a rollout.
+    /// During a rollout at least this share of the pool's endpoints stays eligible.
     double minimumEligibleShare = 0.75;
-    /// An order whose effect does not show for as long is given again.
+    /// An order is sent again when the agent's reports do not show its effect within this time.
     Duration orderTimeout = std::chrono::minutes(5);
-    /// An endpoint that refused an order gets none for as long.
+    /// An endpoint that refused an order or could not be reached gets no order for this long.
     Duration retryAfter = std::chrono::seconds(10);
 };
 
-/// Decides which orders the holder of a pool's lease gives next, from what is wanted and what is.
+/// Decides which orders the holder of a pool's lease sends next, by comparing the desired state of the pool with the
+/// reported one.
 ///
-/// It compares states and remembers little, so that a new holder goes on where the last one ended. A version is rolled
-/// out to a few endpoints at a time, and only while enough others are eligible. Loads are staggered: a new holder
-/// begins with no load to spare, else a lease that changes hands in a rollout would double the load on the weight
-/// store.
+/// The planner keeps little state of its own, so that a new lease holder can continue where the last one stopped. A
+/// version is rolled out to a few endpoints at a time, and only while enough others are eligible. Loads are rate
+/// limited, and the limiter of a new lease holder starts empty: otherwise a change of the holder during a rollout would
+/// double the load on the store of model weights.
 class PoolOrderPlanner
 {
 public:
@@ -61,19 +63,19 @@
     void applyReported(const ReportedEndpoint &endpoint);
     void removeEndpoint(const EndpointId &endpoint);
 
-    /// The orders to be sent now under this fence. At most one to each endpoint at a time.
+    /// Returns the orders to be sent now, with the fencing number `fence`. An endpoint has at most one order under way.
     std::vector<EndpointOrder> nextOrders(std::uint64_t fence, Instant now);
 
     /// The agent or the engine refused the order, or could not be reached.
     void noteFailed(const EndpointId &endpoint, Instant now);
 
-    /// Whether every endpoint is as wanted.
+    /// Whether every endpoint is in the desired state.
     bool isDone() const;
 
 private:
     struct Target {
         ReportedEndpoint reported;
-        /// The order under way, with no number when there is none.
+        /// The order under way. Its number is zero when there is none.
         EndpointOrder order;
         Instant orderedAt{};
         Instant notBefore{};
--- a/src/libradishswitch/routing/poolrouter.h
+++ b/src/libradishswitch/routing/poolrouter.h
@@ -19,10 +19,10 @@
 namespace RadishSwitch
 {
 
-/// Chooses the endpoint for each attempt, by the policy of its pool, and learns from how attempts go.
+/// Chooses the endpoint for each attempt by the routing policy of its pool, and tracks how the attempts go.
 ///
-/// Observes the directory from its construction to its end. Like the directory it is for one thread at a time, under
-/// the same lock.
+/// The router observes the directory for its whole lifetime. Like the directory, it must be used by one thread at a
+/// time, under the same lock.
 class PoolRouter : private EndpointObserver
 {
 public:
@@ -32,32 +32,35 @@
     PoolRouter(const PoolRouter &) = delete;
     PoolRouter &operator=(const PoolRouter &) = delete;
 
-    /// The endpoint for the next attempt. Fails with NoEndpoint, and when to come back, if no endpoint of the pool may
-    /// get work; with InvalidSettings for a policy that does not exist.
+    /// Returns the endpoint for the next attempt. Fails with NoEndpoint and a time to retry after when no endpoint of
+    /// the pool may get work, and with InvalidSettings when the policy does not exist.
     absl::StatusOr<RouteChoice> choose(const RouteQuery &query, Instant now);
 
-    /// An attempt was sent, with its worst case in tokens. Each is followed by one `noteFinished`.
+    /// An attempt was sent to the endpoint; `tokens` is the most it can use. Every call must be followed by one
+    /// `noteFinished`.
     void noteDispatched(const EndpointId &endpoint, std::int64_t tokens, Instant now);
 
-    /// The first byte of the answer came, `taken` after the dispatch; also to be told for answers that do not stream.
+    /// The first byte of the answer arrived, `taken` after the dispatch. To be called for answers that are not
+    /// streamed, too.
     void noteFirstToken(const EndpointId &endpoint, Duration taken, Instant now);
 
     void noteFinished(const EndpointId &endpoint, RunEnd end, Instant now);
 
-    /// How many more runs this process should have under way in the pool just now: what is left of its own slots at the
-    /// eligible endpoints, or its part of what they report free, whichever is more.
-    /// Judged at the latest moment that the router or the directory was told.
+    /// How many more runs this process may start in the pool now: its own free slots at the eligible endpoints, or its
+    /// share of the slots that the endpoints report as free, whichever is more. The result holds for the last time at
+    /// which the router or the directory was updated.
     std::int64_t freeSlots(const PoolId &pool) const;
 
-    /// The same with the number of own slots, as the fair queue wants it.
+    /// The same, together with the number of this process's own slots, in the form that the fair queue takes.
     PoolRoom room(const PoolId &pool) const;
 
-    /// Which of the endpoints' slots are this process's own, when all are busy: it is number `rank`, from zero, of
-    /// `count` processes that use the same endpoints. Each slot is the own slot of just one of them, so that together
-    /// they do not flood endpoints whose reports are old.
+    /// Tells the router that its process has place `rank`, counted from zero, among `count` processes that use the same
+    /// endpoints. The slots of every endpoint are divided among the processes, each slot to exactly one. When all
+    /// endpoints are busy each process keeps to its own slots, so that the processes together do not overload endpoints
+    /// whose reports are old.
     void setCapacityShare(std::size_t rank, std::size_t count);
 
-    /// Endpoints of the pool that may get work, ejected ones included.
+    /// Number of endpoints of the pool that may get work, including ejected ones.
     std::size_t eligibleCount(const PoolId &pool, Instant now) const;
 
     bool isEjected(const EndpointId &endpoint, Instant now) const;
@@ -77,8 +80,9 @@
     std::optional<EndpointSlot> chooseFromOwnSlots(RoutingPolicy &policy, const RouteCandidates &candidates) const;
     void ejectWithinLimit(EndpointSlot slot, Instant now);
     void updatePoolLoad(EndpointSlot slot);
+    /// Number of the endpoint's slots that belong to this process.
     std::int64_t ownSlotCount(EndpointSlot slot) const;
-    /// Own slots at the endpoint that have no run of this process.
+    /// Number of this process's own slots at the endpoint that are not taken by its runs.
     std::int64_t ownFreeSlots(EndpointSlot slot) const;
     EndpointActivity &activityOf(EndpointSlot slot);
     EndpointActivity *activityOf(const EndpointId &endpoint);
--- a/src/libradishswitch/routing/prefixcachehints.h
+++ b/src/libradishswitch/routing/prefixcachehints.h
@@ -14,33 +14,36 @@
 namespace RadishSwitch
 {
 
-/// Chain hashes of a prompt: one for each whole block of `kPrefixBlockBytes` bytes, each over the model's name and
-/// everything before, so that two prompts share a hash just when they share the prefix. At most `kMaximumPrefixBlocks`.
+/// Chain hashes of a prompt, one for each full block of `kPrefixBlockBytes` bytes. Each hash covers the model's name
+/// and the prompt up to the end of its block, so that two prompts share a hash exactly when they share that prefix.
+/// Returns at most `kMaximumPrefixBlocks` hashes; the rest of a longer prompt is not hashed.
 inline constexpr std::size_t kPrefixBlockBytes = 512;
 inline constexpr std::size_t kMaximumPrefixBlocks = 64;
 std::vector<std::uint64_t> prefixChainHashes(std::string_view model, std::string_view prompt);
 
-/// What the endpoints' prefix caches probably hold: from their cache events, which come late and with gaps, and from
-/// what this process has sent there. A wrong hint costs time, never an answer.
+/// What the prefix caches of the endpoints probably hold, from their cache events, which come late and with gaps, and
+/// from the prompts that this process has sent to them. A wrong hint makes a request slower but never changes its
+/// answer.
 class PrefixCacheHints
 {
 public:
     static constexpr std::size_t kHashesPerEndpoint = 4096;
 
-    /// Takes in an endpoint's events in order. At a gap in their numbers an eviction may have been missed, and the
-    /// endpoint would draw work for a cache that it no longer has: everything known of it is dropped.
+    /// Applies cache events of an endpoint in order. A gap in their numbers may hide an eviction, and the endpoint
+    /// would keep getting work for prefixes that it no longer holds. After a gap all hints for the endpoint are
+    /// therefore dropped.
     void applyEvents(EndpointSlot slot, const std::vector<CacheEvent> &events);
 
-    /// A prompt went to this endpoint, whose cache will hold it.
+    /// A prompt with these hashes was sent to the endpoint, whose cache will hold it.
     void noteDispatched(EndpointSlot slot, const std::vector<std::uint64_t> &hashes);
 
-    /// Drops everything known of an endpoint, also where its event numbers stand.
+    /// Drops all hints for the endpoint, and the number of its last event.
     void removeEndpoint(EndpointSlot slot);
 
-    /// How many of the prompt's leading blocks the endpoint probably holds.
+    /// How many leading blocks of the prompt the endpoint probably holds.
     std::size_t cachedBlocks(EndpointSlot slot, const std::vector<std::uint64_t> &hashes) const;
 
-    /// Up to `limit` endpoints that hold the most of the prompt, the latest to be heard of first.
+    /// Up to `limit` endpoints that hold the longest known prefix of the prompt, the most recently added first.
     absl::InlinedVector<EndpointSlot, 4> holders(const std::vector<std::uint64_t> &hashes, std::size_t limit) const;
 
     std::size_t hashCount() const
@@ -53,7 +56,7 @@
 
     struct EndpointHints {
         std::uint64_t lastSequence = 0;
-        /// The oldest first; may name a hash that has been evicted since.
+        /// The endpoint's hashes, the oldest first. May contain hashes that were evicted in the meantime.
         std::deque<std::uint64_t> hashes;
     };
 
--- a/src/libradishswitch/routing/roundrobinpolicy.h
+++ b/src/libradishswitch/routing/roundrobinpolicy.h
@@ -5,7 +5,7 @@
 namespace RadishSwitch
 {
 
-/// Each endpoint in turn, whatever its load.
+/// Chooses the endpoints in rotation, regardless of their load.
 class RoundRobinPolicy : public RoutingPolicy
 {
 public:
--- a/src/libradishswitch/routing/routecandidates.h
+++ b/src/libradishswitch/routing/routecandidates.h
@@ -11,12 +11,12 @@
 namespace RadishSwitch
 {
 
-/// What a policy sees of one decision: the endpoints that answer for the model, and what is known of them.
+/// The input of a routing policy for one decision: the endpoints that serve the model, and what is known about them.
 struct RouteCandidates {
-    /// How far to bend the rules on which endpoints are usable.
+    /// Whether ejected endpoints may be chosen.
     enum class EjectedEndpoints {
         Excluded,
-        /// Nothing usual is left: take ejected ones too, rather than have no endpoint at all.
+        /// Used when no other endpoint is left: an ejected endpoint is better than none.
         Included,
     };
 
@@ -31,10 +31,12 @@
     EjectedEndpoints ejectedEndpoints;
     Instant now;
 
+    /// Whether the endpoint may be chosen for the query.
     bool isUsable(EndpointSlot slot) const;
     LoadEstimate load(EndpointSlot slot) const;
     RouteCost cost(EndpointSlot slot, const LoadEstimate &load) const;
-    /// The share of its turns that a new endpoint takes, from the floor up to one.
+    /// The probability with which an endpoint in its slow start is considered, rising from
+    /// `RoutingSettings::slowStartFloor` to 1.
     double slowStartShare(EndpointSlot slot) const;
 };
 
--- a/src/libradishswitch/routing/routecost.h
+++ b/src/libradishswitch/routing/routecost.h
@@ -8,22 +8,25 @@
 namespace RadishSwitch
 {
 
-/// What an endpoint is thought to be doing now: this process's own runs, which it knows, and those of others, from the
-/// last report and the pool's mean.
+/// Estimated current load of an endpoint. It combines the runs of this process, which are known exactly, with the runs
+/// of other processes, which are estimated from the last report and the pool's mean.
 struct LoadEstimate {
+    /// Number of runs at the endpoint, queued ones included.
     double runs = 0;
-    /// Runs over capacity; above one when there is a queue.
+    /// Runs divided by capacity. Above 1 when the endpoint has a queue.
     double utilisation = 0;
-    /// Expected seconds in the endpoint's queue and by the slowness of a full batch.
+    /// Expected delay of a new run in seconds, by the endpoint's queue and by the slower steps of a full batch.
     double seconds = 0;
-    /// Differences below this many seconds mean nothing: others may have sent as much there since the report.
+    /// Differences in `seconds` below this value are not significant: since the report, other processes may have sent
+    /// that much work to the endpoint.
     double uncertaintySeconds = 0;
 };
 
 LoadEstimate estimateLoad(const EndpointState &state, const EndpointActivity &activity, const PoolLoad &pool,
                           const RoutingSettings &settings, Instant now);
 
-/// Expected seconds from dispatch to the first token, in two parts: by load, which is estimated, and by what is known.
+/// Expected seconds from the dispatch to the first token, in two parts: the delay by the endpoint's load, which is an
+/// estimate, and the delays that are known well, such as prefill and network distance.
 struct RouteCost {
     double loadSeconds = 0;
     double knownSeconds = 0;
@@ -35,15 +38,16 @@
     }
 };
 
-/// `cachedBlocks` of the query's prefix hashes are thought to be in the endpoint's cache.
+/// Expected cost of running the query at the endpoint, if the endpoint's cache holds the first `cachedBlocks` of the
+/// query's prefix hashes.
 RouteCost expectedFirstToken(const EndpointState &state, const EndpointActivity &activity, const LoadEstimate &load,
                              std::size_t cachedBlocks, const RouteQuery &query, const RoutingSettings &settings,
                              Instant now);
 
-/// The capacity that the endpoint states, or else the settings' one.
+/// The capacity that the endpoint reports, or the default of the settings when it reports none.
 std::uint32_t capacityOf(const EndpointLoad &load, const RoutingSettings &settings);
 
-/// "model" of "model:adapter".
+/// Returns "model" for "model:adapter", and a name without an adapter as it is.
 std::string baseModelOf(const std::string &model);
 
 }
--- a/src/libradishswitch/routing/routequery.h
+++ b/src/libradishswitch/routing/routequery.h
@@ -10,28 +10,28 @@
 namespace RadishSwitch
 {
 
-/// What a request asks of the router.
+/// The request for which the router chooses an endpoint.
 struct RouteQuery {
     PoolId pool;
-    /// The pool's policy as named in the table; empty for the default one.
+    /// Name of the pool's routing policy in the configuration table. Empty for the default policy.
     std::string policy;
     /// "model" or "model:adapter". Empty for a plain service.
     std::string model;
-    /// Chain hashes of the prompt, one a block, the first block first.
+    /// Chain hashes of the prompt, one for each block, in the order of the blocks.
     std::vector<std::uint64_t> prefixHashes;
     std::int64_t promptTokens = 0;
-    /// Bound on the tokens of the answer.
+    /// Upper bound on the number of tokens of the answer.
     std::int64_t maximumTokens = 0;
-    /// Endpoints that earlier attempts of the request have tried.
+    /// Endpoints that earlier attempts of the request used already.
     std::vector<EndpointId> excluded;
-    /// Only agents that had started by then may be chosen.
+    /// Only endpoints whose agents started before this time may be chosen.
     Instant startedBefore = Instant::max();
-    /// Where the asking process is.
+    /// Availability zone and region of this process.
     std::string zone;
     std::string region;
 };
 
-/// The endpoint chosen, and its agent's address.
+/// The chosen endpoint, and the address of its agent.
 struct RouteChoice {
     EndpointId endpoint;
     std::string address;
@@ -39,14 +39,14 @@
     bool operator==(const RouteChoice &) const = default;
 };
 
-/// How a run ended, as far as the endpoint is to blame or to praise.
+/// How a run ended, as far as it says something about the health of the endpoint.
 enum class RunEnd {
     Ok,
-    /// The endpoint failed it, was cut off, or kept silent past a deadline.
+    /// The endpoint failed the run, became unreachable, or did not answer before a deadline.
     Failed,
-    /// The agent or the endpoint did not take it.
+    /// The agent or the endpoint did not accept the run.
     Refused,
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
 };
 
--- a/src/libradishswitch/routing/routingpolicy.h
+++ b/src/libradishswitch/routing/routingpolicy.h
@@ -10,23 +10,24 @@
 namespace RadishSwitch
 {
 
-/// How a pool's endpoint is picked. One object serves one pool, so that a policy may keep a turn or a cursor.
+/// Strategy that chooses an endpoint of a pool. Each pool has its own policy object, so that a policy may keep state,
+/// such as its place in a rotation.
 class RoutingPolicy
 {
 public:
     virtual ~RoutingPolicy() = default;
 
-    /// The name in the table.
+    /// The policy's name in the configuration table.
     virtual std::string_view name() const = 0;
 
-    /// One of the usable candidates, or nothing when there is none.
+    /// Returns one of the usable candidates, or nothing when there is none.
     virtual std::optional<EndpointSlot> choose(const RouteCandidates &candidates) = 0;
 };
 
-/// The policy of that name; null when there is none such. The empty name gives the default policy.
+/// Creates the policy with this name, the default policy for an empty name, or null for an unknown name.
 std::unique_ptr<RoutingPolicy> makeRoutingPolicy(std::string_view name);
 
-/// The names that `makeRoutingPolicy` knows.
+/// All policy names that `makeRoutingPolicy` accepts, the default policy first.
 const std::vector<std::string> &routingPolicyNames();
 
 }
--- a/src/libradishswitch/routing/routingsettings.h
+++ b/src/libradishswitch/routing/routingsettings.h
@@ -8,36 +8,43 @@
 namespace RadishSwitch
 {
 
-/// What the routing policies work with. Times are those that a request feels.
+/// Settings of the routing policies. The durations are delays as a request experiences them; the default policy adds
+/// them to the expected time to the first token.
 struct RoutingSettings {
-    /// Endpoints weighed for one decision of the default policy, besides those that hold most of the prompt.
+    /// Number of endpoints that the default policy scores for one decision, besides those that hold most of the prompt.
     std::size_t sampleSize = 4;
-    /// Looked at to find as many that are usable.
+    /// How many endpoints the default policy examines at most to find `sampleSize` usable ones.
     std::size_t maximumScanned = 12;
-    /// Endpoints that hold most of the prompt and are weighed besides those drawn.
+    /// Number of endpoints with most of the prompt in their cache that the default policy scores besides the sampled
+    /// ones.
     std::size_t maximumCacheHolders = 2;
-    /// An endpoint is not weighed for its cache alone when it is busier than this times the endpoints drawn.
+    /// An endpoint is not scored for its cache alone when its utilisation exceeds this factor times the mean
+    /// utilisation of the sampled endpoints, plus one run.
     double cacheHolderUtilisationFactor = 1.25;
-    /// Added for an endpoint of another availability zone, and of another region.
+    /// Delay added for an endpoint in another availability zone of the region, and for one in another region.
     Duration zoneDistance = std::chrono::milliseconds(2);
     Duration regionDistance = std::chrono::milliseconds(80);
-    /// Added when the adapter has to be loaded first.
+    /// Delay added when the endpoint has to load the adapter first.
     Duration adapterLoadTime = std::chrono::seconds(2);
-    /// Added, in proportion, for a full batch, which slows every step.
+    /// Delay added when all slots of an endpoint are in use, because a full batch slows down every step; in proportion
+    /// when fewer are.
     Duration fullBatchDelay = std::chrono::milliseconds(100);
+    /// Speed at which an endpoint processes the prompt tokens that its cache does not hold.
     double prefillTokensPerSecond = 8000;
-    /// Assumed of an endpoint that does not state its capacity.
+    /// Capacity of an endpoint that does not report one.
     std::uint32_t capacity = 16;
-    /// A load of this age counts half; the rest of the estimate is the pool's mean.
+    /// A reported load of this age contributes half to the estimate; the pool's mean contributes the other half.
     Duration loadHalfLife = std::chrono::seconds(1);
-    /// Loads count as equal within this times what others may have sent since the report.
+    /// Endpoints count as equally loaded while they differ by less than this factor times the load that other processes
+    /// may have added since the report.
     double uncertaintyFactor = 2;
-    /// From this mean utilisation of the pool on, each process keeps to its own slots while it has any.
+    /// From this mean utilisation of the pool on, a process uses only its own slots as long as some of them are free.
     double saturationUtilisation = 0.85;
-    /// A new endpoint is weighed with growing probability over this span.
+    /// A new endpoint is considered with a probability that grows linearly over this duration, from at least
+    /// `slowStartFloor` up to 1.
     Duration slowStart = std::chrono::seconds(10);
     double slowStartFloor = 0.1;
-    /// A caller with no endpoint is told to come back after this.
+    /// Retry-after time for a caller when no endpoint may get its request.
     Duration noEndpointRetryAfter = std::chrono::seconds(1);
 };
 
--- a/tests/fakes/fakeagents.h
+++ b/tests/fakes/fakeagents.h
@@ -8,7 +8,8 @@
 #include <set>
 #include <utility>
 
-/// Agents in memory: they run, charge, and close portions; each can fall silent or die and forget.
+/// Agents in memory, which run requests, charge them and close portions. Each agent can become silent, or restart and
+/// so forget older charges.
 class FakeAgents : public RadishSwitch::AgentPort
 {
 public:
@@ -27,25 +28,25 @@
         m_agents[address];
     }
 
-    /// The agent knows charges only so far back, since it started anew.
+    /// The agent knows its charges of this past time span only, as if it had restarted then.
     void setCompleteFor(const std::string &address, RadishSwitch::Duration span)
     {
         m_agents[address].completeFor = span;
     }
 
-    /// Each portion has so many tokens charged by provisional runs there.
+    /// Every portion has this many tokens charged by provisional runs at the agent.
     void setProvisionalTokens(const std::string &address, std::int64_t tokens)
     {
         m_agents[address].provisionalTokens = tokens;
     }
 
-    /// A silent agent does not answer closers; its runs go on.
+    /// A silent agent does not answer `closePortions`, but its runs continue.
     void setSilent(const std::string &address, bool isSilent)
     {
         m_agents[address].isSilent = isSilent;
     }
 
-    /// Whether the agent started the run; false when it has closed the portion.
+    /// Starts the run. Returns false when the agent has closed the portion.
     bool start(const std::string &address, const RequestId &request, const PortionId &portion)
     {
         Agent &agent = m_agents[address];
@@ -68,7 +69,7 @@
         return m_agents[address].running[portion].contains(request);
     }
 
-    /// Stands for everything that closers were told, in its order.
+    /// Hash over all answers of `closePortions`, in their order.
     std::uint64_t answerDigest() const
     {
         return m_answerDigest;
--- a/tests/fakes/fakeengine.h
+++ b/tests/fakes/fakeengine.h
@@ -10,7 +10,8 @@
 #include <utility>
 #include <vector>
 
-/// A model engine on virtual time: a few slots, a queue in order of arrival, and a prefix cache of limited size.
+/// A model engine on virtual time, with a fixed number of slots, a first-in first-out queue, and a prefix cache of
+/// limited size.
 class FakeEngine
 {
 public:
@@ -103,7 +104,8 @@
         });
     }
 
-    /// Gives the share of the blocks that the cache held, and puts them all in front.
+    /// Returns the share of the prompt's leading blocks that the cache held, and moves all its blocks to the front of
+    /// the cache.
     double useCache(const std::vector<std::uint64_t> &hashes)
     {
         std::int64_t hits = 0;
@@ -119,7 +121,7 @@
                 m_cache.erase(it);
             }
         }
-        // The last block is the first to be evicted: one without those before it is of no use.
+        // The last block of a prompt is evicted first, because a block is of no use without the blocks before it.
         for (auto it = hashes.rbegin(); it != hashes.rend(); ++it) {
             m_cache.push_front(*it);
         }
--- a/tests/fakes/manualtaskqueue.h
+++ b/tests/fakes/manualtaskqueue.h
@@ -5,7 +5,7 @@
 #include <deque>
 #include <utility>
 
-/// Keeps posted work until the test runs it, in order.
+/// A task queue that holds the posted tasks until the test runs them, in order.
 class ManualTaskQueue : public RadishSwitch::TaskQueue
 {
 public:
@@ -14,6 +14,7 @@
         m_tasks.push_back(std::move(task));
     }
 
+    /// Runs the next task. Returns false when there is none.
     bool runOne()
     {
         if (m_tasks.empty()) {
@@ -25,7 +26,7 @@
         return true;
     }
 
-    /// Runs everything, also what the tasks post themselves.
+    /// Runs all tasks, including those that the tasks post themselves.
     void runAll()
     {
         while (runOne()) { }
--- a/tests/fakes/memoryagents.h
+++ b/tests/fakes/memoryagents.h
@@ -12,7 +12,8 @@
 #include <utility>
 #include <vector>
 
-/// Agents in memory: the real table of runs behind each address, with ways to kill an agent and to cut it off.
+/// Agents in memory, each with the real RunTable behind its address. A test can kill an agent, or cut it off from an
+/// entry process.
 class MemoryAgents
 {
 public:
@@ -28,26 +29,26 @@
         }
     }
 
-    /// The table behind an address, or null when the agent is dead.
+    /// The run table of the agent at this address, or null when the agent is dead.
     RunTable *table(const std::string &address)
     {
         const auto it = m_tables.find(address);
         return it == m_tables.end() ? nullptr : it->second.get();
     }
 
-    /// Dead, with all that it knew; still listed until `unlist`.
+    /// Kills the agent; its records are lost. It stays listed until `unlist`.
     void kill(const std::string &address)
     {
         m_tables.erase(address);
     }
 
-    /// Everyone knows that the agent is gone for good.
+    /// Removes the agent from the list for good; it is not remembered as a removed one either.
     void unlist(const std::string &address)
     {
         m_listed.erase(address);
     }
 
-    /// The platform does not list the agent any more, but it is remembered as one that may hold runs.
+    /// The platform no longer lists the agent, but it is still remembered as one that may hold runs.
     void setGone(const std::string &address)
     {
         m_gone.insert(address);
@@ -58,7 +59,7 @@
         return m_gone.contains(address) || !m_listed.contains(address);
     }
 
-    /// Cuts an entry off from an agent, or joins them again.
+    /// Cuts the network between an entry process and an agent, or restores it.
     void setCut(const std::string &entry, const std::string &address, bool isCut)
     {
         if (isCut) {
@@ -73,7 +74,7 @@
         return m_tables.contains(address);
     }
 
-    /// Messages to the agent vanish from now on: neither an answer nor a failure comes back.
+    /// From now on messages to the agent are lost: neither an answer nor a failure comes back.
     void setSilent(const std::string &address)
     {
         m_silent.insert(address);
@@ -109,7 +110,7 @@
     std::map<std::string, std::unique_ptr<RunTable>> m_tables;
 };
 
-/// The agents as one entry sees them: each question and each answer is a message.
+/// The agents as one entry process sees them. Each call and each answer is a message that the Courier delivers.
 class MemoryAgentPort : public RadishSwitch::AgentPort
 {
 public:
--- a/tests/fakes/memoryentrydirectory.h
+++ b/tests/fakes/memoryentrydirectory.h
@@ -4,7 +4,7 @@
 
 #include <map>
 
-/// What a test says of the other entries; those it does not name are alive.
+/// An entry directory whose answers the test sets. Entry processes that it does not set are alive.
 class MemoryEntryDirectory : public RadishSwitch::EntryDirectory
 {
 public:
--- a/tests/fakes/memoryobjectstore.h
+++ b/tests/fakes/memoryobjectstore.h
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-/// The platform's object API in memory, with the faults that the real one has: unavailable, answers lost after the
-/// write, answers held back. Every answer goes through the task queue.
+/// The platform's object store in memory, with the faults of the real one: it can be unavailable, lose answers after a
+/// write took effect, or not answer at all. All answers go through the task queue.
 class MemoryObjectStore : public RadishSwitch::ObjectStore
 {
 public:
@@ -40,7 +40,8 @@
         m_lostAnswers = n;
     }
 
-    /// Watches that wait now never hear of anything, as when something between the two ends has lost track of them.
+    /// The watches that are waiting now are never answered, as when a proxy between the two ends has lost track of the
+    /// connection.
     void dropWatches()
     {
         m_watchers.clear();
@@ -197,7 +198,7 @@
 
     RadishSwitch::TaskQueue &m_tasks;
     std::map<std::string, StoredObject> m_objects;
-    /// When objects that are gone were removed.
+    /// The version at which each removed object was removed.
     std::map<std::string, std::uint64_t> m_removed;
     std::vector<Watcher> m_watchers;
     std::uint64_t m_version = 0;
--- a/tests/fakes/memoryreservations.h
+++ b/tests/fakes/memoryreservations.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-/// One portion of tokens against which a home reserves, and the books on what became of each reservation.
+/// A single portion of tokens that a home reserves from, with a record of what became of each reservation.
 class MemoryReservations : public RadishSwitch::ReservationPort
 {
 public:
@@ -46,7 +46,7 @@
         }
     }
 
-    /// While holding, answers wait.
+    /// While set, the answers of `reserve` are held back. Both calls release the answers that were held back so far.
     void setDelayingAnswers(bool isDelaying)
     {
         m_isDelaying = isDelaying;
@@ -90,13 +90,13 @@
         return sum;
     }
 
-    /// How often a request was reserved for that held a reservation already.
+    /// How often `reserve` was called for a request that already held a reservation.
     int reservedTwice() const
     {
         return m_reservedTwice;
     }
 
-    /// Every bill of a request; more than one is a fault.
+    /// All bills of a request. More than one is an error of the home.
     std::vector<std::int64_t> billsOf(const RequestId &request) const
     {
         const auto it = m_billed.find(request);
--- a/tests/fakes/seededrandom.h
+++ b/tests/fakes/seededrandom.h
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <random>
 
-/// Random numbers that are the same on every run.
+/// A random source with a fixed seed: its numbers are the same on every run.
 class SeededRandom : public RadishSwitch::RandomSource
 {
 public:
--- a/tests/fakes/virtualtimerservice.h
+++ b/tests/fakes/virtualtimerservice.h
@@ -5,7 +5,8 @@
 #include <map>
 #include <utility>
 
-/// Virtual time: stands still until a test moves it, and fires what falls due in order of time, then of subscription.
+/// A timer service with virtual time, which only advances when the test says so. Timers that are due fire in the order
+/// of their time, those due at the same time in the order of their creation.
 class VirtualTimerService : public RadishSwitch::TimerService
 {
 public:
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Moves time forward by `span`, firing everything that falls due on the way.
+    /// Advances the time by `span` and fires all timers that become due.
     void advance(Duration span)
     {
         const Instant end = m_now + span;
@@ -53,7 +54,7 @@
         m_now = end;
     }
 
-    /// Fires the next timer, moving time to it. False when there is none.
+    /// Advances the time to the next timer and fires it. Returns false when there is none.
     bool fireNext()
     {
         if (m_timers.empty()) {
