--- a/src/libradishswitch/base/callbackwithtimeout.h
+++ b/src/libradishswitch/base/callbackwithtimeout.h
@@ -26,7 +26,7 @@
         }
     };
     const TimerId timer = timers.after(deadline, [once] {
-        once(makeFailure(FailureCode::StoreTimeout, "the store did not answer"));
+        once(makeFailure(FailureCode::StoreTimeout, "the object store did not answer before the deadline of the call"));
     });
     return [once, timer, &timers](absl::StatusOr<T> answer) {
         timers.cancel(timer);
--- a/src/libradishswitch/base/tokenbucket.cpp
+++ b/src/libradishswitch/base/tokenbucket.cpp
@@ -10,7 +10,8 @@
 {
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-// Sums of fractions come out a little low; a cost that is short by less than this is taken.
+// Sums of fractions are slightly too low because of rounding. A cost is taken when the level is short of it by no more
+// than this.
 constexpr double kTolerance = 1e-6;
 
 }
--- a/src/libradishswitch/membership/fleetmembership.cpp
+++ b/src/libradishswitch/membership/fleetmembership.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// The live entries of all regions are kept under the empty name.
+// Key in `m_live` under which the live entry processes of all regions are stored.
 const std::string kAllRegions;
 
 }
@@ -164,7 +164,8 @@
         return endpoints;
     }
     const std::vector<LiveEntry> &live = liveOf(self->second->member.region);
-    // Each endpoint picks its entries, so that all endpoints are covered by the same number of them.
+    // For each endpoint, the `coverage` entry processes with the highest scores are selected, so that all endpoints are
+    // covered by the same number of them.
     const std::size_t coverage = (size * live.size() + endpoints.size() - 1) / endpoints.size();
     std::vector<EndpointId> subset;
     for (const EndpointId &endpoint : endpoints) {
@@ -199,14 +200,15 @@
     if (it == m_listings.end() || !it->second.isLeaving) {
         return false;
     }
-    // After a restart at the same address a list that lags still shows the earlier incarnation's leaving.
+    // After a restart at the same address, a list that lags still shows that the earlier incarnation was leaving.
     const bool isStaleLeaving = state.isRestart && it->second.leavingSince <= state.firstHeartbeatAt;
     return !isStaleLeaving || now - state.firstHeartbeatAt >= m_settings.listLag;
 }
 
 bool FleetMembership::supersedeEarlier(const EntryMember &member)
 {
-    // Two processes can't listen at one address: a fresh incarnation there proves that the earlier one has ended.
+    // Two processes cannot listen at the same address, so a new incarnation there proves that the earlier one has
+    // ended.
     bool hasSuperseded = false;
     for (auto &[incarnation, state] : m_members) {
         if (incarnation != member.incarnation && state->member.address == member.address) {
--- a/src/libradishswitch/membership/leaseholder.cpp
+++ b/src/libradishswitch/membership/leaseholder.cpp
@@ -59,7 +59,8 @@
     const nlohmann::json json = nlohmann::json::parse(value, nullptr, false);
     if (!json.is_object() || !json.contains("holder") || !json.contains("fence") || !json["holder"].is_string()
         || !json["fence"].is_number_unsigned()) {
-        return makeFailure(FailureCode::ObjectMalformed, "this is no lease");
+        return makeFailure(FailureCode::ObjectMalformed,
+                           "lease object malformed: fields holder (string) and fence (number) expected");
     }
     const auto renewals = json.find("renewals");
     const bool hasRenewals = renewals != json.end() && renewals->is_number_unsigned();
@@ -74,7 +75,7 @@
 
 void LeaseHolder::read()
 {
-    // A store that is slow or away gets one call at a time.
+    // A store that is slow or unavailable gets one call at a time.
     if (std::exchange(m_isBusy, true)) {
         return;
     }
@@ -110,8 +111,9 @@
         return;
     }
     if (isMine) {
-        // Only a write that is known to have gone well counts: a rival waits from the last change of the object, and a
-        // holder that trusted what it reads would still act when writes fail and the rival takes over.
+        // The lease is confirmed only by a write that is known to have succeeded. A rival measures the time from the
+        // last change of the object: if reading the lease confirmed it, a holder whose writes fail would still act
+        // while the rival takes over.
         write(Lease{lease.holder, lease.fence, lease.renewals + 1}, object.version);
         return;
     }
--- a/src/libradishswitch/routing/defaultpolicy.cpp
+++ b/src/libradishswitch/routing/defaultpolicy.cpp
@@ -37,7 +37,7 @@
 {
     const std::size_t n = candidates.slots.size();
     const std::size_t scanLimit = std::min(n, candidates.settings.maximumScanned);
-    // Each process begins elsewhere; else the first requests of all of them would meet at the same endpoint.
+    // The rotation starts at a random endpoint. Otherwise the first requests of all processes would go to the same one.
     if (!std::exchange(m_hasCursor, true)) {
         m_cursor = candidates.random.below(n);
     }
@@ -55,7 +55,8 @@
 DefaultPolicy::ScoredEndpoints DefaultPolicy::dropSlowStarting(const RouteCandidates &candidates,
                                                                ScoredEndpoints scored)
 {
-    // Measured against the most settled one, so that endpoints that all started together all get work.
+    // An endpoint is kept with a probability relative to the one that has been running longest. Endpoints that all
+    // started at the same time are therefore all kept.
     double most = 0;
     for (const ScoredEndpoint &it : scored) {
         most = std::max(most, candidates.slowStartShare(it.slot));
@@ -94,7 +95,7 @@
         if (!isCandidate || !candidates.isUsable(slot)) {
             continue;
         }
-        // A prefix that everybody shares would gather everybody at the endpoint that saw it first.
+        // Without this bound, all requests with the same common prefix would go to the endpoint that got it first.
         const ScoredEndpoint holder = score(candidates, slot);
         const double oneRun = 1.0 / capacityOf(candidates.directory.state(slot).load, settings);
         if (holder.utilisation <= settings.cacheHolderUtilisationFactor * utilisation + oneRun) {
--- a/src/libradishswitch/routing/endpointactivity.cpp
+++ b/src/libradishswitch/routing/endpointactivity.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Without reports the list of changes would grow for ever.
+// Only reports shorten the list of changes; this limit bounds it when no reports come.
 constexpr std::size_t kMaximumChanges = 2048;
 
 }
@@ -33,7 +33,8 @@
 Duration EndpointActivity::noteFinished(RunEnd end, Instant now)
 {
     recordChange(-1, now);
-    // A run that failed may have had its first token; counting it as one that waited errs towards no blame.
+    // It is not known whether the failed run already had its first token. Assuming that it had none can only make the
+    // endpoint look less stalled than it is.
     if (end != RunEnd::Ok) {
         m_awaitingFirstToken = std::max(0, m_awaitingFirstToken - 1);
     }
--- a/src/libradishswitch/routing/endpointdirectory.cpp
+++ b/src/libradishswitch/routing/endpointdirectory.cpp
@@ -73,8 +73,9 @@
         state.region = instance.region;
         setPoolAndModels(state, instance.pool, {});
     }
-    // An endpoint that restarts under its old name is still "leaving" in a list that lags; believing that would keep
-    // a fresh endpoint idle. An endpoint that says nothing itself but leaves for good is still marked after the lag.
+    // An endpoint that restarted under its old name is still "leaving" in a list that lags. The directory ignores that,
+    // or else the restarted endpoint would stay idle. Once the list cannot lag any more, the word of the list counts:
+    // this also marks an endpoint that is leaving for good but whose agent does not say so.
     const bool isStaleLeaving = state.isListedAsLeaving && state.hasReported && !state.pastIncarnations.empty()
         && now - state.firstReportAt < m_settings.listLag;
     if (!instance.isLeaving || !isStaleLeaving) {
--- a/src/libradishswitch/routing/endpointejection.cpp
+++ b/src/libradishswitch/routing/endpointejection.cpp
@@ -27,7 +27,8 @@
     ++m_windowRuns;
     m_consecutiveFailures = 0;
     m_isProbing = false;
-    // A success of a run from before the ejection says nothing about the endpoint now.
+    // A run that was started before the ejection and succeeds during it says nothing about the endpoint's present
+    // state.
     if (m_isTripped && now >= m_ejectedUntil) {
         m_isTripped = false;
         m_windowRuns = 0;
--- a/src/libradishswitch/routing/poolorderplanner.cpp
+++ b/src/libradishswitch/routing/poolorderplanner.cpp
@@ -91,7 +91,7 @@
     if (!m_desired.version.empty() && endpoint.version != m_desired.version) {
         return NextChange{OrderKind::SetVersion, m_desired.version};
     }
-    // What is not wanted any more goes first: its memory may be needed.
+    // Adapters that are no longer desired are unloaded first, because their memory may be needed for the new ones.
     for (const std::string &adapter : endpoint.adapters) {
         if (!contains(m_desired.adapters, adapter)) {
             return NextChange{OrderKind::UnloadAdapter, adapter};
@@ -123,7 +123,7 @@
     if (changing >= m_settings.maximumChanging) {
         return false;
     }
-    // One that serves nothing anyway costs no capacity.
+    // Changing an endpoint that serves no requests anyway costs no capacity.
     if (!target.reported.isEligible) {
         return true;
     }
--- a/src/libradishswitch/routing/poolrouter.cpp
+++ b/src/libradishswitch/routing/poolrouter.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// How fast the mean of a pool follows its endpoints' reports.
+// Weight of a new value in the moving averages of a pool.
 constexpr double kSmoothingFactor = 0.1;
 
 }
@@ -37,13 +37,13 @@
     m_latestTime = std::max(m_latestTime, now);
     RoutingPolicy *policy = policyOf(query.pool, query.policy);
     if (policy == nullptr) {
-        return makeFailure(FailureCode::InvalidSettings, "no routing policy is named " + query.policy);
+        return makeFailure(FailureCode::InvalidSettings, "unknown routing policy: " + query.policy);
     }
     const std::optional<EndpointSlot> slot = chooseSlot(*policy, query, now);
     if (!slot) {
         const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(m_routing.noEndpointRetryAfter);
-        return makeFailure(FailureCode::NoEndpoint, "no endpoint of pool " + query.pool.value() + " may get work",
-                           wait);
+        return makeFailure(FailureCode::NoEndpoint,
+                           "no endpoint of pool " + query.pool.value() + " can take the request now", wait);
     }
     m_hints.noteDispatched(*slot, query.prefixHashes);
     const EndpointState &state = m_directory.state(*slot);
@@ -74,7 +74,7 @@
         return;
     }
     EndpointActivity &activity = activityOf(*slot);
-    // A run of an earlier incarnation says nothing about the present one.
+    // A run of an earlier incarnation ended, which says nothing about the present one.
     if (activity.inFlight() == 0) {
         return;
     }
@@ -132,7 +132,8 @@
 {
     const EndpointState &state = m_directory.state(slot);
     const std::size_t capacity = capacityOf(state.load, m_routing);
-    // Slots that do not divide evenly go to other processes at each endpoint.
+    // Adding the endpoint's hash gives the slots that do not divide evenly to different processes at different
+    // endpoints.
     const std::size_t turn = (m_processRank + state.hash) % m_processCount;
     return static_cast<std::int64_t>((turn + 1) * capacity / m_processCount - turn * capacity / m_processCount);
 }
@@ -229,8 +230,9 @@
 
 void PoolRouter::ejectWithinLimit(EndpointSlot slot, Instant now)
 {
-    // When the fault is common to all endpoints (a bad model, a lost disk behind them), each of them fails often
-    // enough to be left out. Without a floor the pool would be empty and every request refused, while some succeed.
+    // When all endpoints share a fault, such as a bad model or a lost disk behind them, each of them fails often enough
+    // to be ejected. Without a limit the pool would become empty and every request would be refused, although some
+    // would succeed.
     std::size_t eligible = 0;
     std::size_t ejected = 1;
     for (const EndpointSlot other : m_directory.serving(m_directory.state(slot).pool, {})) {
--- a/src/libradishswitch/routing/prefixcachehints.cpp
+++ b/src/libradishswitch/routing/prefixcachehints.cpp
@@ -52,7 +52,8 @@
 
 std::size_t PrefixCacheHints::cachedBlocks(EndpointSlot slot, const std::vector<std::uint64_t> &hashes) const
 {
-    // A cache that holds a block holds those before it, or else the block is of no use: the boundary can be bisected.
+    // A cached block is only of use together with the blocks before it, so a cache that holds a block holds those, too.
+    // The end of the cached prefix can therefore be found by bisection.
     const auto end = std::ranges::partition_point(hashes, [&](std::uint64_t hash) {
         return isHeldBy(hash, slot);
     });
--- a/src/libradishswitch/routing/roundrobinpolicy.cpp
+++ b/src/libradishswitch/routing/roundrobinpolicy.cpp
@@ -8,7 +8,7 @@
 std::optional<EndpointSlot> RoundRobinPolicy::choose(const RouteCandidates &candidates)
 {
     const std::size_t n = candidates.slots.size();
-    // Each process begins elsewhere; else the first requests of all of them would meet at the same endpoint.
+    // The rotation starts at a random endpoint. Otherwise the first requests of all processes would go to the same one.
     if (!std::exchange(m_hasCursor, true)) {
         m_cursor = candidates.random.below(n);
     }
--- a/src/libradishswitch/routing/routecost.cpp
+++ b/src/libradishswitch/routing/routecost.cpp
@@ -24,7 +24,7 @@
     return state.zone == query.zone ? 0 : seconds(settings.zoneDistance);
 }
 
-/// About the mean of what a normally distributed number has above zero.
+/// Approximates the mean of max(0, x) for a normally distributed x.
 double expectedExcess(double mean, double variance)
 {
     constexpr double kShape = 0.64;
@@ -67,8 +67,9 @@
     const double reported = static_cast<double>(load.running) + static_cast<double>(load.queued);
     const double age = std::max(0.0, seconds(now - state.loadMeasuredAt));
 
-    // Many processes read the same report. Were an old one believed, all of them would send to the endpoint that was
-    // idle then, and it would be swamped until the next report; so what it says of others fades into the pool's mean.
+    // Many processes use the same report. If they trusted an old one, all of them would send to the endpoint that was
+    // idle then, and would overload it until the next report. What the report says about the runs of other processes
+    // therefore fades into the pool's mean.
     const double reportWeight = std::exp2(-age / seconds(settings.loadHalfLife));
     const double others = std::max(0.0, reported - activity.inFlightWhenMeasured());
     const double othersShare = 1 - pool.ownShare();
@@ -77,14 +78,15 @@
     LoadEstimate estimate;
     estimate.runs = activity.inFlight() + reportWeight * others + (1 - reportWeight) * othersMean;
     estimate.utilisation = estimate.runs / capacity;
-    // Others have started and ended runs there since; a few slots free by the report may be none by now.
+    // Other processes have started and ended runs at the endpoint since the report. Slots that were free then may be
+    // taken now, which the variance accounts for.
     const double othersRuns = othersShare * std::min(pool.utilisation, 1.0) * capacity;
     const double variance = 2 * othersRuns * std::min(1.0, age / pool.runSeconds);
     const double queued = expectedExcess(estimate.runs + 1 - capacity, variance);
     estimate.seconds =
         queued * pool.runSeconds / capacity + std::min(estimate.utilisation, 1.0) * seconds(settings.fullBatchDelay);
-    // Others start `utilisation * capacity / runSeconds` runs a second here, each of them good for
-    // `runSeconds / capacity` seconds of queue.
+    // Other processes start `utilisation * capacity / runSeconds` runs per second at the endpoint, and each of these
+    // adds `runSeconds / capacity` seconds of queue.
     estimate.uncertaintySeconds = settings.uncertaintyFactor * othersShare * std::min(pool.utilisation, 1.0) * age;
     return estimate;
 }
@@ -97,8 +99,8 @@
     cost.loadSeconds = load.seconds;
     cost.uncertaintySeconds = load.uncertaintySeconds;
     cost.knownSeconds = prefillSeconds(cachedBlocks, query, settings) + networkDelay(state, query, settings);
-    // An endpoint that accepts runs and never answers looks idle: its queue is short. What runs have been waiting for
-    // there without any progress is the least that the next one should expect.
+    // An endpoint that accepts runs and never answers looks idle, because its queue is short. The time for which runs
+    // have been waiting there without any progress is therefore the least that the next run has to expect.
     cost.knownSeconds += std::max(0.0, seconds(activity.stalledFor(now)) - load.seconds);
     if (isAdapterMissing(state, query.model)) {
         cost.knownSeconds += seconds(settings.adapterLoadTime);
--- a/tests/core/base/failure_test.cpp
+++ b/tests/core/base/failure_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace RadishSwitch;
 
-TEST(FailureTest, statusWithCode_namedAndBack_givesSameCode)
+TEST(FailureTest, failureFromName_nameOfCode_returnsSameCode)
 {
     const absl::Status status =
         makeFailure(FailureCode::BudgetExhausted, "nothing left", std::chrono::milliseconds(250));
@@ -15,7 +15,7 @@
     EXPECT_EQ(outcomeOf(status), RunOutcome::NotRun);
 }
 
-TEST(FailureTest, statusMarkedUnknown_askedForOutcome_isNotReadAsNotRun)
+TEST(FailureTest, outcomeOf_statusMarkedUnknown_isUnknown)
 {
     EXPECT_EQ(outcomeOf(withUnknownOutcome(makeFailure(FailureCode::ConnectionLost, ""))), RunOutcome::Unknown);
 }
--- a/tests/core/membership/fleetmembership_test.cpp
+++ b/tests/core/membership/fleetmembership_test.cpp
@@ -81,7 +81,7 @@
     FleetMembership m_membership{m_tasks, m_timers.now()};
 };
 
-TEST_F(FleetMembershipTest, liveEntries_heardAndNotLeaving_areListedByAddress)
+TEST_F(FleetMembershipTest, liveEntries_sendingHeartbeatsAndNotLeaving_areSortedByAddress)
 {
     sendHeartbeat("b");
     sendHeartbeat("a");
@@ -95,7 +95,7 @@
     EXPECT_EQ(m_membership.rankOf(IncarnationId("c-first")), std::nullopt);
 }
 
-TEST_F(FleetMembershipTest, liveEntries_silentLostOrListedAsLeaving_areLeftOut)
+TEST_F(FleetMembershipTest, liveEntries_silentUnreachableOrListedAsLeaving_areLeftOut)
 {
     sendHeartbeat("a");
     sendHeartbeat("b");
@@ -110,8 +110,8 @@
     EXPECT_EQ(live(), (std::vector<std::string>{"c:7000"}));
 }
 
-// A rolling restart: the list lags and still shows the leaving of the incarnation before.
-TEST_F(FleetMembershipTest, liveEntries_restartedWhileListSaysLeaving_isLiveUntilListCannotLag)
+// During a rolling restart, the list lags and still shows that the earlier incarnation is leaving.
+TEST_F(FleetMembershipTest, liveEntries_restartedWhileListedAsLeaving_isLiveUntilListLagIsOver)
 {
     sendHeartbeat("a", "first");
     m_membership.applyListed("a:7000", true, m_timers.now());
@@ -135,7 +135,7 @@
     EXPECT_TRUE(live().empty());
 }
 
-TEST_F(FleetMembershipTest, subscribe_memberComesAndGoes_toldThroughTheTaskQueue)
+TEST_F(FleetMembershipTest, subscribe_memberComesAndGoes_notifiesThroughTaskQueue)
 {
     int changes = 0;
     m_membership.subscribe([&changes] {
@@ -156,9 +156,9 @@
     EXPECT_EQ(changes, 2);
 }
 
-// One entry of a hundred goes. If more than its own shards moved, every restart would make homes take fresh portions
-// for budgets all over, and strand the old ones.
-TEST_F(FleetMembershipTest, homeOf_oneEntryGoes_onlyItsShardsMove)
+// One of a hundred entry processes goes away. If shards other than its own moved, every restart would make all homes
+// take new portions of the budgets and leave the old ones unused.
+TEST_F(FleetMembershipTest, homeOf_oneEntryRemoved_onlyItsShardsMove)
 {
     sendHeartbeats(100);
     const std::map<std::uint32_t, std::string> before = homes();
@@ -189,8 +189,9 @@
     EXPECT_FALSE(m_membership.homeOf(1, "south-central").has_value());
 }
 
-// The regions lose each other for minutes. Entries over there are silent, but the platform still lists them: they live
-// and spend from their portions. Held for dead, their portions would be closed under them and their callers refused.
+// Two regions cannot reach each other for minutes. The entry processes of the other region are silent, but the platform
+// still lists them: they are alive and spend from their portions. If they counted as dead, their portions would be
+// closed while in use and their callers would be refused.
 TEST_F(FleetMembershipTest, isDead_silentForMinutesButListed_isNotDead)
 {
     sendHeartbeat("a");
@@ -203,8 +204,8 @@
     EXPECT_TRUE(isDead("a-first"));
 }
 
-// The list lacks an entry that lives.
-TEST_F(FleetMembershipTest, isDead_unlistedButHeard_isNotDead)
+// The list does not contain an entry process that is alive.
+TEST_F(FleetMembershipTest, isDead_unlistedButSendingHeartbeats_isNotDead)
 {
     sendHeartbeat("a");
     m_membership.applyUnlisted("a:7000", m_timers.now());
@@ -213,9 +214,9 @@
     EXPECT_FALSE(isDead("a-first"));
 }
 
-// An entry crashes and is started again at its address within a second. The list never notices, but a second process
-// can't listen at the address of a first: the earlier incarnation is dead, and its portions need not wait.
-TEST_F(FleetMembershipTest, isDead_addressHasALaterIncarnation_isDeadSoon)
+// An entry process crashes and is restarted at its address within a second. The list never shows that. But two
+// processes cannot listen at the same address, so the earlier incarnation is dead and its portions can be closed soon.
+TEST_F(FleetMembershipTest, isDead_laterIncarnationAtSameAddress_isDeadAfterSuspectTime)
 {
     sendHeartbeat("a", "first");
     m_membership.applyListed("a:7000", false, m_timers.now());
@@ -229,9 +230,9 @@
     EXPECT_FALSE(isDead("second"));
 }
 
-// This process has just started and finds a portion of an incarnation that it has never heard of. That alone proves
-// nothing: its holder may be in the region that can't be reached.
-TEST_F(FleetMembershipTest, isDead_neverHeardOf_goesByTheListAndTakesLong)
+// This process has just started and finds a portion of an incarnation from which it never got a heartbeat. That alone
+// proves nothing: the holder may be in a region that cannot be reached.
+TEST_F(FleetMembershipTest, isDead_noHeartbeatEver_dependsOnListAndTakesLonger)
 {
     m_membership.applyListed("far:7000", false, m_timers.now());
     advanceTime(5min);
@@ -243,7 +244,7 @@
     EXPECT_TRUE(isDead("nameless"));
 }
 
-TEST_F(FleetMembershipTest, isDead_ruleOfSilence_goesBySilenceAlone)
+TEST_F(FleetMembershipTest, isDead_silentRule_ignoresTheList)
 {
     FleetMembership membership(m_tasks, m_timers.now(), {.deathRule = DeathRule::Silent});
     membership.applyHeartbeat(memberOf("a"), m_timers.now());
@@ -253,7 +254,7 @@
     EXPECT_TRUE(membership.isDead(IncarnationId("a-first"), m_timers.now()));
 }
 
-TEST_F(FleetMembershipTest, watchersOfZone_manyEntries_areFewAndStayWhenOthersGo)
+TEST_F(FleetMembershipTest, watchersOfZone_manyEntries_areFewAndStayWhenOneIsRemoved)
 {
     sendHeartbeats(80);
     const std::vector<EntryMember> watchers = m_membership.watchersOfZone("hall-a", 2);
@@ -266,15 +267,15 @@
     EXPECT_TRUE(m_membership.watchersOfZone("hall-b", 2).empty());
 }
 
-TEST_F(FleetMembershipTest, subsetOf_fewEndpoints_isEverything)
+TEST_F(FleetMembershipTest, subsetOf_fewEndpoints_returnsAll)
 {
     sendHeartbeats(3);
 
     EXPECT_EQ(m_membership.subsetOf(endpoints(12), IncarnationId("entry-0-first"), 24), endpoints(12));
 }
 
-// 205 entries of a region before 650 endpoints, each entry to keep about 60. An endpoint that few entries cover would
-// stand idle; one that all cover would have the control traffic of the full mesh.
+// 205 entry processes of a region use 650 endpoints, and each keeps connections to about 60 of them. An endpoint that
+// few entry processes cover would be idle; one that all of them cover would get the control traffic of a full mesh.
 TEST_F(FleetMembershipTest, subsetOf_manyEndpoints_coversEachEquallyOften)
 {
     sendHeartbeats(205);
@@ -295,7 +296,7 @@
     }
 }
 
-TEST_F(FleetMembershipTest, subsetOf_oneEntryGoes_othersChangeLittle)
+TEST_F(FleetMembershipTest, subsetOf_oneEntryRemoved_othersChangeLittle)
 {
     sendHeartbeats(100);
     const IncarnationId me("entry-1-first");
--- a/tests/core/routing/endpointdirectory_test.cpp
+++ b/tests/core/routing/endpointdirectory_test.cpp
@@ -42,17 +42,18 @@
     EndpointDirectory m_directory;
 };
 
-// The platform's list lags. It still names an endpoint whose instance is gone; nobody answers there, and a request sent
-// there is lost until it times out. Only what an agent says makes an endpoint eligible.
-TEST_F(EndpointDirectoryTest, status_listedButNeverHeard_isNotEligible)
+// The platform's list lags and still contains an endpoint whose instance no longer exists. A request sent there would
+// be lost until it times out. Only the agent's reports make an endpoint eligible.
+TEST_F(EndpointDirectoryTest, status_listedButNeverReported_isNotEligible)
 {
     list();
 
     EXPECT_EQ(status(), EndpointStatus::NeverReported);
 }
 
-// The list lacks an endpoint that lives and reports. Leaving it out would refuse requests while it stands idle.
-TEST_F(EndpointDirectoryTest, status_heardButUnlisted_isEligible)
+// The list does not contain an endpoint that is alive and reports. Leaving it out would refuse requests while it is
+// idle.
+TEST_F(EndpointDirectoryTest, status_reportedButUnlisted_isEligible)
 {
     list();
     report();
@@ -61,9 +62,9 @@
     EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
-// The endpoint begins to leave; whichever news is first stops new work at once, and good news from the other source,
-// which is older, does not undo it.
-TEST_F(EndpointDirectoryTest, leaving_agentSaysSoFirst_listDoesNotUndoIt)
+// The endpoint starts to leave. The first source that says so, the agent or the list, stops new work at once. The other
+// source, whose information is older, must not undo that.
+TEST_F(EndpointDirectoryTest, status_agentReportsLeavingFirst_staysLeavingWhenListDisagrees)
 {
     list();
     report();
@@ -75,7 +76,7 @@
     EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
-TEST_F(EndpointDirectoryTest, leaving_listSaysSoFirst_agentsReportDoesNotUndoIt)
+TEST_F(EndpointDirectoryTest, status_listedAsLeavingFirst_staysLeavingWhenAgentDisagrees)
 {
     report();
     list(true);
@@ -84,7 +85,7 @@
     EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
-TEST_F(EndpointDirectoryTest, leaving_unlistedAfterwards_staysLeaving)
+TEST_F(EndpointDirectoryTest, status_leavingAndThenUnlisted_staysLeaving)
 {
     report();
     list(true);
@@ -94,9 +95,9 @@
     EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
-// The instance is cut off before it can say a word, and the list lags by minutes. Its silence has to do: the caller's
-// request would hang there.
-TEST_F(EndpointDirectoryTest, silence_twoSecondsLong_isNotEligibleUntilHeardAgain)
+// The instance is cut off before its agent can report that it leaves, and the list lags by minutes. The missing reports
+// alone must take the endpoint out of use, or requests would hang there.
+TEST_F(EndpointDirectoryTest, status_noReportForTwoSeconds_isSilentUntilNextReport)
 {
     report();
     m_timers.advance(1999ms);
@@ -109,7 +110,7 @@
     EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
-TEST_F(EndpointDirectoryTest, connectionLost_heardAgain_isEligibleAgain)
+TEST_F(EndpointDirectoryTest, noteConnectionLost_reportAfterwards_isEligibleAgain)
 {
     report();
     m_directory.noteConnectionLost(m_endpoint, m_timers.now());
@@ -130,9 +131,9 @@
     EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
-// The agent restarts under the same name while the list still says "leaving" for its earlier life. Were that believed,
-// a rolling restart would leave the pool empty for as long as the list lags.
-TEST_F(EndpointDirectoryTest, freshIncarnation_listStillSaysLeaving_isEligible)
+// The agent restarts under the same name while the list still shows its earlier incarnation as leaving. If the
+// directory believed that, a rolling restart would leave the pool empty for as long as the list lags.
+TEST_F(EndpointDirectoryTest, status_newIncarnationListStillShowsLeaving_isEligible)
 {
     report("first");
     list(true);
@@ -143,9 +144,9 @@
     EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
-// As above, but the instance is being taken away for good and only its agent was restarted: the list goes on saying so
-// for longer than it can lag.
-TEST_F(EndpointDirectoryTest, freshIncarnation_listSaysLeavingForLongerThanItLags_isLeaving)
+// As above, but the instance is being removed for good and only its agent was restarted. The list keeps showing it as
+// leaving for longer than the list can lag.
+TEST_F(EndpointDirectoryTest, status_newIncarnationListedAsLeavingBeyondListLag_isLeaving)
 {
     report("first");
     list(true);
@@ -159,8 +160,8 @@
     EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
-// A report of the earlier life was held up in the network. Taken for a new start, it would bring back the dead life's
-// load and its word that it leaves.
+// A report of the earlier incarnation was delayed in the network. If it counted as a new start, it would bring back the
+// load and the leaving state of the dead incarnation.
 TEST_F(EndpointDirectoryTest, applyReport_ofEarlierIncarnation_isIgnored)
 {
     report("first");
@@ -172,7 +173,7 @@
     EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
-TEST_F(EndpointDirectoryTest, applyLoad_laterThanReport_isTaken)
+TEST_F(EndpointDirectoryTest, applyLoad_laterThanReport_isApplied)
 {
     report();
     m_timers.advance(100ms);
@@ -186,7 +187,7 @@
     EXPECT_EQ(m_directory.find(m_endpoint)->load.running, 3u);
 }
 
-TEST_F(EndpointDirectoryTest, removeSilent_silentForLongAndUnlisted_isForgotten)
+TEST_F(EndpointDirectoryTest, removeSilent_noReportForLongAndUnlisted_isRemoved)
 {
     report();
     m_timers.advance(60s);
--- a/tests/core/routing/poolorderplanner_test.cpp
+++ b/tests/core/routing/poolorderplanner_test.cpp
@@ -23,7 +23,7 @@
     }
 
     VirtualTimerService m_timers;
-    /// A paused process: its clock runs, its timers do not fire until it goes on.
+    /// Timers of a paused process: they do not fire until the process continues.
     VirtualTimerService m_pausedTimers;
     ManualTaskQueue m_tasks;
     MemoryObjectStore m_store{m_tasks};
@@ -31,7 +31,7 @@
     LeaseHolder m_rival{m_store, m_timers, "orders/drape-llm", IncarnationId("rival")};
 };
 
-TEST_F(LeaseHolderTest, start_noLeaseYet_isHeldByOne)
+TEST_F(LeaseHolderTest, start_noLeaseYet_isHeldByOneProcess)
 {
     m_first.start();
     m_tasks.runAll();
@@ -42,10 +42,10 @@
     EXPECT_EQ(m_rival.fence(), std::nullopt);
 }
 
-// The holder is paused in the middle of an order and knows nothing of it. Its rival sees the lease unchanged for ten
-// seconds, takes it and orders version 3. The first goes on and sends its order for version 2: an engine that ignores
-// fencing numbers would go back.
-TEST_F(LeaseHolderTest, holderPaused_lateOrder_isRefusedAtTheAgent)
+// The lease holder is paused while it sends an order. Its rival sees the lease unchanged for ten seconds, takes it over
+// and orders version 3. The first holder then continues and sends its order for version 2. An engine that ignored
+// fencing numbers would go back to version 2.
+TEST_F(LeaseHolderTest, fence_holderPausedAndReplaced_lateOrderIsRefusedByAgent)
 {
     m_first.start();
     m_tasks.runAll();
@@ -64,7 +64,7 @@
     EXPECT_EQ(m_first.fence(), std::nullopt);
 }
 
-TEST_F(LeaseHolderTest, fence_holderCannotReachTheStore_stopsBeforeARivalCanStart)
+TEST_F(LeaseHolderTest, fence_storeUnavailable_expiresBeforeRivalCanTakeOver)
 {
     m_rival.start();
     m_tasks.runAll();
@@ -75,8 +75,8 @@
     EXPECT_EQ(m_rival.fence(), std::nullopt);
 }
 
-// The holder can read the store, but the answers to its writes are lost. It must not go on by what it reads: a rival
-// whose writes go through may be about to take over.
+// The holder can read the store, but the answers to its writes are lost. It must not rely on what it reads: a rival
+// whose writes succeed may be about to take over.
 TEST_F(LeaseHolderTest, fence_renewalsNotConfirmed_isNotTrusted)
 {
     m_rival.start();
@@ -88,7 +88,7 @@
     EXPECT_EQ(m_rival.fence(), std::nullopt);
 }
 
-TEST_F(LeaseHolderTest, fence_renewed_isKeptAndStaysTheSame)
+TEST_F(LeaseHolderTest, fence_renewed_staysTheSame)
 {
     m_rival.start();
     advanceTime(60s);
@@ -96,9 +96,9 @@
     EXPECT_EQ(m_rival.fence(), 1u);
 }
 
-// The write that takes the lease goes well and its answer is lost. Read as a failure, the lease would lie idle until
-// somebody takes it over from a holder that does not know that it holds it.
-TEST_F(LeaseHolderTest, start_answerOfTheWriteLost_isHeldAfterReadingBack)
+// The write that acquires the lease succeeds, but its answer is lost. If that counted as a failure, the lease would
+// stay unused until another process takes it over from a holder that does not know that it holds it.
+TEST_F(LeaseHolderTest, start_writeAnswerLost_isHeldAfterReadingBack)
 {
     m_store.loseAnswersOfNextWrites(1);
     m_rival.start();
@@ -109,7 +109,7 @@
     EXPECT_EQ(m_rival.fence(), 1u);
 }
 
-TEST_F(LeaseHolderTest, release_rivalWaiting_takesOverAtItsNextLook)
+TEST_F(LeaseHolderTest, release_rivalWaiting_acquiresLeaseAtNextRead)
 {
     m_first.start();
     m_tasks.runAll();
@@ -122,7 +122,7 @@
     EXPECT_EQ(m_rival.fence(), 2u);
 }
 
-// An agent has restarted and forgotten which fences it saw. The first order that comes may be a late one.
+// An agent restarted and no longer knows which fencing numbers it saw. The first order that arrives may be an old one.
 TEST(OrderGateTest, admit_fenceNotKnownYet_isRefused)
 {
     OrderGate gate;
@@ -146,9 +146,9 @@
     PoolOrderPlanner m_planner{PoolId("drape-llm"), m_timers.now(), {.loadsPerSecond = 1}};
 };
 
-// Twelve endpoints get a new version, each of which takes 30 s to load it and serves nothing meanwhile. All at once
-// would stop the pool and flood the weight store.
-TEST_F(PoolOrderPlannerTest, rollout_twelveEndpoints_fewAtATimeInsideTheRate)
+// Twelve endpoints get a new version. Each of them takes 30 s to load it and serves nothing meanwhile. Changing all at
+// once would stop the pool and overload the store of model weights.
+TEST_F(PoolOrderPlannerTest, nextOrders_rolloutToTwelveEndpoints_fewAtATimeWithinLoadRate)
 {
     std::map<int, Instant> loading;
     m_planner.setDesired({"2", {}});
@@ -174,8 +174,9 @@
     EXPECT_TRUE(m_planner.isDone());
 }
 
-// A zone is lost in the middle of a rollout, with a third of the pool. What still serves is all there is.
-TEST_F(PoolOrderPlannerTest, rollout_thirdOfThePoolLost_waitsBeforeTakingMoreAway)
+// A zone with a third of the pool is lost during a rollout. The rollout must not take more endpoints out of service
+// until the zone is back.
+TEST_F(PoolOrderPlannerTest, nextOrders_thirdOfThePoolLostDuringRollout_waitsUntilItIsBack)
 {
     m_planner.setDesired({"2", {}});
     for (int i = 0; i < 12; ++i) {
@@ -190,9 +191,9 @@
     EXPECT_EQ(m_planner.nextOrders(1, m_timers.now()).size(), 1u);
 }
 
-// The lease changes hands while two endpoints carry out orders of the earlier holder. The new one knows nothing of
-// those but what the agents report.
-TEST_F(PoolOrderPlannerTest, nextOrders_ordersOfAnEarlierHolderUnderWay_givesNoMore)
+// The lease moves to another process while two endpoints carry out orders of the earlier holder. The new holder knows
+// of these orders only from the agents' reports.
+TEST_F(PoolOrderPlannerTest, nextOrders_ordersOfEarlierHolderUnderWay_returnsNone)
 {
     m_planner.setDesired({"2", {}});
     for (int i = 0; i < 12; ++i) {
@@ -203,7 +204,7 @@
     EXPECT_TRUE(m_planner.nextOrders(2, m_timers.now()).empty());
 }
 
-TEST_F(PoolOrderPlannerTest, nextOrders_adaptersDiffer_unloadsFirstAndThenLoads)
+TEST_F(PoolOrderPlannerTest, nextOrders_adaptersDiffer_unloadsBeforeLoading)
 {
     m_planner.setDesired({"", {"blinds"}});
     m_planner.applyReported({EndpointId("e"), "1", {"curtains"}});
--- a/tests/core/routing/poolrouter_test.cpp
+++ b/tests/core/routing/poolrouter_test.cpp
@@ -49,7 +49,7 @@
         m_router.noteFinished(EndpointId(name), end, m_timers.now());
     }
 
-    /// Lets time pass with the endpoints reporting, until their slow start is over.
+    /// Advances the time, with reports from the endpoints, until their slow start is over.
     void settle(const std::vector<std::string> &names)
     {
         for (int i = 0; i < 11; ++i) {
@@ -93,7 +93,7 @@
     PoolRouter m_router{m_directory, m_random};
 };
 
-TEST_F(PoolRouterTest, choose_noEndpointHeard_refusesWithRetryAfter)
+TEST_F(PoolRouterTest, choose_noEndpointReported_refusesWithRetryAfter)
 {
     m_directory.applyListed({EndpointId("a"), "a:7001", m_pool, "hall-a", "south-central", false}, m_timers.now());
 
@@ -103,7 +103,7 @@
     EXPECT_EQ(retryAfterOf(choice.status()), 1000ms);
 }
 
-TEST_F(PoolRouterTest, choose_endpointHeard_givesItsAgentsAddress)
+TEST_F(PoolRouterTest, choose_endpointReported_returnsItsAgentsAddress)
 {
     report("a");
 
@@ -122,7 +122,7 @@
     EXPECT_EQ(choose(other), "invalid_settings");
 }
 
-TEST_F(PoolRouterTest, choose_endpointExcluded_givesAnother)
+TEST_F(PoolRouterTest, choose_endpointExcluded_returnsAnother)
 {
     reportAll({"a", "b"});
     RouteQuery retry = query();
@@ -148,7 +148,7 @@
     EXPECT_EQ(chooseTimes(20, query()), (std::map<std::string, int>{{"near", 20}}));
 }
 
-TEST_F(PoolRouterTest, choose_adapterLoadedElsewhere_prefersWhereItIs)
+TEST_F(PoolRouterTest, choose_adapterLoadedAtOneEndpoint_prefersThatEndpoint)
 {
     report("a");
     EndpointReport loaded = reportOf("b");
@@ -160,7 +160,7 @@
     EXPECT_EQ(chooseTimes(20, adapted), (std::map<std::string, int>{{"b", 20}}));
 }
 
-TEST_F(PoolRouterTest, choose_promptCachedSomewhere_goesThere)
+TEST_F(PoolRouterTest, choose_promptCachedAtOneEndpoint_prefersThatEndpoint)
 {
     reportAll({"a", "b", "c", "d", "e", "f"});
     RouteQuery prompt = query();
@@ -171,9 +171,9 @@
     EXPECT_EQ(chooseTimes(20, prompt), (std::map<std::string, int>{{first, 20}}));
 }
 
-// Everybody shares one long system prompt. The endpoint that saw it first is the best one for each of them, so all of
-// them queue there while the others idle.
-TEST_F(PoolRouterTest, choose_promptSharedByAll_spreadsWhenItsEndpointIsBusy)
+// All requests share one long system prompt. The endpoint that saw it first has the lowest cost for each of them, so
+// all of them would queue there while the other endpoints are idle.
+TEST_F(PoolRouterTest, choose_promptSharedByAllRequests_spreadsWhenCacheHolderIsBusy)
 {
     reportAll({"a", "b", "c", "d"});
     RouteQuery prompt = query();
@@ -186,16 +186,16 @@
         ++counts[name];
     }
 
-    // The bound: 1.25 times the mean of 6 runs, and one run more.
+    // The limit is 1.25 times the mean of 6 runs, plus one run.
     EXPECT_GE(counts.size(), 3u);
     for (const auto &[name, n] : counts) {
         EXPECT_LE(n, 9) << name;
     }
 }
 
-// An engine accepts every run and answers none. Its queue looks short and nothing fails yet, so a policy that goes by
-// load alone sends it ever more; each caller waits for its whole deadline.
-TEST_F(PoolRouterTest, choose_endpointAcceptsAndNeverAnswers_getsNoMoreAfterAWhile)
+// An engine accepts every run and answers none. Its queue looks short and no run has failed yet, so a policy that only
+// considers the load would keep sending runs there, and each caller would wait until its deadline.
+TEST_F(PoolRouterTest, choose_endpointAcceptsAndNeverAnswers_isAvoidedAfterHalfASecond)
 {
     settle({"a", "b"});
     m_router.noteDispatched(EndpointId("a"), 100, m_timers.now());
@@ -255,8 +255,8 @@
     EXPECT_TRUE(m_router.isEjected(EndpointId("a"), m_timers.now()));
 }
 
-// A fault that all endpoints share makes each of them fail often enough to be ejected. With all of them out, every
-// request would be refused, also those that would have gone well.
+// A fault that all endpoints share makes each of them fail often enough to be ejected. If all were ejected, every
+// request would be refused, including those that would succeed.
 TEST_F(PoolRouterTest, choose_allEndpointsFail_atMostHalfAreEjected)
 {
     settle({"a", "b", "c", "d"});
@@ -273,8 +273,9 @@
     EXPECT_EQ(chooseTimes(100, query()).size(), 2u);
 }
 
-// Two of three are ejected or gone: the rest dies too, and the ejected one, which may have recovered, is all there is.
-TEST_F(PoolRouterTest, choose_onlyEjectedEndpointsLive_areUsedRatherThanNone)
+// One endpoint is ejected, and the connection to the only other one is lost. The ejected endpoint may have recovered,
+// and is the only one left to try.
+TEST_F(PoolRouterTest, choose_onlyEjectedEndpointsLeft_usesThem)
 {
     settle({"a", "b"});
     for (int i = 0; i < 5; ++i) {
@@ -285,9 +286,9 @@
     EXPECT_EQ(choose(query()), "a");
 }
 
-// A zone is cut off with a third of the pool. Its connections go silent without a word, and the list still names its
-// endpoints; after 2 s of silence no request goes there, and the others take all of them.
-TEST_F(PoolRouterTest, choose_zoneLostWithAThirdOfThePool_restTakesAll)
+// A zone with a third of the pool is cut off. Its connections become silent without an error, and the list still
+// contains its endpoints. After 2 s without reports no request may go there, and the other endpoints take all requests.
+TEST_F(PoolRouterTest, choose_zoneWithAThirdOfThePoolLost_othersTakeAllRequests)
 {
     for (const char *name : {"a1", "a2", "b1", "b2", "c1", "c2"}) {
         report(name, std::string("hall-") + name[0]);
@@ -307,8 +308,9 @@
     EXPECT_EQ(m_router.eligibleCount(m_pool, m_timers.now()), 4u);
 }
 
-// Every endpoint of the pool restarts at once. Meanwhile a caller is refused at once and told when to come back; the
-// fresh incarnations are all in their slow start together, which must not keep them from work.
+// All endpoints of the pool restart at the same time. Until they report, a request is refused at once with a
+// retry-after time. Then all new incarnations are in their slow start together, which must not keep them from getting
+// work.
 TEST_F(PoolRouterTest, choose_allEndpointsRestart_refusedAtOnceAndThenServed)
 {
     settle({"a", "b"});
@@ -327,8 +329,8 @@
     EXPECT_EQ(chooseTimes(100, query()).size(), 2u);
 }
 
-// A new endpoint has an empty cache and queue, and looks best to everybody at once.
-TEST_F(PoolRouterTest, choose_newEndpointAmongOld_getsLittleAtFirst)
+// A new endpoint has an empty queue and so has the lowest cost for all requests at once.
+TEST_F(PoolRouterTest, choose_newEndpointAmongOld_getsFewRequestsAtFirst)
 {
     settle({"a", "b", "c"});
     report("new");
@@ -338,7 +340,7 @@
     EXPECT_GT(chooseTimes(400, query())["new"], 60);
 }
 
-TEST_F(PoolRouterTest, hints_endpointRestarts_dropsWhatWasKnown)
+TEST_F(PoolRouterTest, hints_endpointRestarts_areDropped)
 {
     EndpointReport report = reportOf("a");
     report.cacheEvents = {{1, true, {11}}};
@@ -350,8 +352,9 @@
     EXPECT_EQ(m_router.hints().hashCount(), 0u);
 }
 
-// Three entries see the same free slots in reports that are a second old. If each took all of them, the endpoints would
-// get three times what they have room for, and the queue that is fair and refuses in time would stay empty.
+// Three entry processes see the same free slots in reports that are a second old. If each of them took all of these
+// slots, the endpoints would get three times the runs that they have room for. The runs would then wait in the
+// endpoints' queues instead of the entry processes' fair queue, which can refuse requests in time.
 TEST_F(PoolRouterTest, freeSlots_sharedByThreeEntries_areAboutAThird)
 {
     reportAll({"a", "b", "c"});
@@ -364,7 +367,7 @@
     EXPECT_EQ(m_router.freeSlots(m_pool), 5);
 }
 
-TEST_F(PoolRouterTest, freeSlots_othersBusy_ownPartStaysFree)
+TEST_F(PoolRouterTest, freeSlots_endpointFullOfOtherProcessesRuns_ownSlotsStayFree)
 {
     EndpointReport full = reportOf("a");
     full.load.running = 8;
--- a/tests/core/routing/prefixcachehints_test.cpp
+++ b/tests/core/routing/prefixcachehints_test.cpp
@@ -11,9 +11,10 @@
     PrefixCacheHints m_hints;
 };
 
-// Events 1 and 2 arrive, 3 is lost, 4 arrives: the lost one may have been the eviction of all that is known. Work drawn
-// there by a stale hint computes its whole prompt anew, in a queue that others have joined for the same reason.
-TEST_F(PrefixCacheHintsTest, applyEvents_gap_dropsWhatWasKnown)
+// Events 1 and 2 arrive, 3 is lost, 4 arrives. The lost event may have been the eviction of all known prefixes. A
+// request sent to the endpoint because of an old hint would compute its whole prompt again, in a queue with other
+// requests sent there for the same reason.
+TEST_F(PrefixCacheHintsTest, applyEvents_gapInSequence_dropsAllHints)
 {
     m_hints.applyEvents(kSlot, {{1, true, {11, 12}}, {2, true, {13}}});
     EXPECT_EQ(m_hints.cachedBlocks(kSlot, {11, 12, 13, 14}), 3u);
@@ -30,7 +31,8 @@
     EXPECT_EQ(m_hints.cachedBlocks(kSlot, {11, 12}), 1u);
 }
 
-// An event comes twice, or late after a later one: taken again, a store would undo the eviction that followed it.
+// An event arrives twice, or late after a newer one. If it were applied again, a stored prefix would come back although
+// a later event evicted it.
 TEST_F(PrefixCacheHintsTest, applyEvents_oldSequence_isIgnored)
 {
     m_hints.applyEvents(kSlot, {{1, true, {11}}, {2, false, {11}}, {1, true, {11}}});
@@ -38,7 +40,7 @@
     EXPECT_EQ(m_hints.cachedBlocks(kSlot, {11}), 0u);
 }
 
-TEST_F(PrefixCacheHintsTest, holders_manyEndpoints_givesThoseThatHoldTheMost)
+TEST_F(PrefixCacheHintsTest, holders_severalEndpoints_returnsThoseWithLongestPrefix)
 {
     m_hints.noteDispatched(1, {11});
     m_hints.noteDispatched(2, {11, 12});
@@ -46,8 +48,8 @@
     EXPECT_EQ(m_hints.holders({11, 12, 13}, 2), (absl::InlinedVector<EndpointSlot, 4>{2}));
 }
 
-// An endpoint that no event ever comes from would fill the memory with what was sent there.
-TEST_F(PrefixCacheHintsTest, noteDispatched_withoutEnd_keepsTheLatestOnly)
+// An endpoint never sends cache events. Without a limit, the hashes of all prompts sent there would fill the memory.
+TEST_F(PrefixCacheHintsTest, noteDispatched_moreHashesThanLimit_keepsTheLatest)
 {
     for (std::uint64_t i = 1; i <= 3 * PrefixCacheHints::kHashesPerEndpoint; ++i) {
         m_hints.noteDispatched(kSlot, {i});
--- a/tests/core/routing/routingload_test.cpp
+++ b/tests/core/routing/routingload_test.cpp
@@ -11,7 +11,7 @@
 using namespace RadishSwitch;
 using namespace std::chrono_literals;
 
-/// Several routers before the same engines, with reports that are as old as the test says.
+/// Several routers send to the same engines, with reports of a given age.
 class RoutingLoadTest : public testing::Test
 {
 protected:
@@ -190,10 +190,10 @@
     std::vector<std::vector<std::uint64_t>> m_conversations;
 };
 
-// Twenty routers see loads that are 5 s old. Were the old report believed, all twenty would send to the endpoint that
-// was idle 5 s ago, its queue would grow until the news of it is old enough, and then they would swarm to the next: the
-// caller sees the first token come seconds late although most endpoints are idle.
-TEST_F(RoutingLoadTest, herdOfRouters_reportsFiveSecondsOld_firstTokenNearRoundRobin)
+// Twenty routers see loads that are 5 s old. If they trusted the reports, all of them would send to the endpoint that
+// was idle 5 s ago, until its longer queue shows in the reports, and would then all move to the next one. Callers would
+// wait seconds for the first token although most endpoints are idle.
+TEST_F(RoutingLoadTest, twentyRouters_reportsFiveSecondsOld_firstTokenNearRoundRobin)
 {
     Offer offer;
     offer.routers = 20;
@@ -217,9 +217,10 @@
     EXPECT_LT(outcome.firstTokenP95, run(offer).firstTokenP95);
 }
 
-// Conversations grow by a turn at a time and come back to any router. An endpoint that has the conversation in its
-// cache answers sooner; one that does not computes the whole prompt again, and pushes another conversation out.
-TEST_F(RoutingLoadTest, growingConversations_cachesLimited_moreHitsAndSoonerThanRoundRobin)
+// Conversations grow by one turn at a time, and each turn may reach any router. An endpoint that has the conversation
+// in its cache answers sooner. An endpoint that does not has to compute the whole prompt again, and evicts another
+// conversation.
+TEST_F(RoutingLoadTest, growingConversations_cachesLimited_moreHitsAndFasterThanRoundRobin)
 {
     Offer offer;
     offer.utilisation = 0.6;
