--- a/src/libradishswitch/base/backoff.h
+++ b/src/libradishswitch/base/backoff.h
@@ -13,23 +13,23 @@
 class Backoff
 {
 public:
-    Backoff(Duration first, Duration last)
-        : m_next(first)
-        , m_last(last)
+    Backoff(Duration initial, Duration maximum)
+        : m_next(initial)
+        , m_maximum(maximum)
     {
     }
 
     Duration next(RandomSource &random)
     {
         const Duration span = m_next;
-        m_next = std::min(m_next * 2, m_last);
+        m_next = std::min(m_next * 2, m_maximum);
         const auto half = span / 2;
         return half + Duration(static_cast<Duration::rep>(static_cast<double>(half.count()) * random.fraction()));
     }
 
 private:
     Duration m_next;
-    Duration m_last;
+    Duration m_maximum;
 };
 
 }
--- a/src/libradishswitch/base/tokenbucket.cpp
+++ b/src/libradishswitch/base/tokenbucket.cpp
@@ -20,7 +20,7 @@
     : m_rate(rate)
     , m_burst(burst)
     , m_level(burst)
-    , m_at(now)
+    , m_updatedAt(now)
 {
 }
 
@@ -39,13 +39,13 @@
 void TokenBucket::take(double cost, Instant now)
 {
     m_level = levelAt(now) - cost;
-    m_at = now;
+    m_updatedAt = now;
 }
 
 void TokenBucket::refund(double amount, Instant now)
 {
     m_level = std::min(m_burst, levelAt(now) + amount);
-    m_at = now;
+    m_updatedAt = now;
 }
 
 void TokenBucket::setRate(double rate, double burst, Instant now)
@@ -53,12 +53,12 @@
     m_level = std::min(burst, levelAt(now));
     m_rate = rate;
     m_burst = burst;
-    m_at = now;
+    m_updatedAt = now;
 }
 
 double TokenBucket::levelAt(Instant now) const
 {
-    const double passed = static_cast<double>((now - m_at).count()) / kMicrosecondsPerSecond;
+    const double passed = static_cast<double>((now - m_updatedAt).count()) / kMicrosecondsPerSecond;
     return std::min(m_burst, m_level + m_rate * std::max(0.0, passed));
 }
 
--- a/src/libradishswitch/base/tokenbucket.h
+++ b/src/libradishswitch/base/tokenbucket.h
@@ -36,7 +36,7 @@
     double m_rate = 0;
     double m_burst = 0;
     double m_level = 0;
-    Instant m_at{};
+    Instant m_updatedAt{};
 };
 
 }
--- a/src/libradishswitch/routing/routecandidates.cpp
+++ b/src/libradishswitch/routing/routecandidates.cpp
@@ -28,7 +28,7 @@
 RouteCost RouteCandidates::cost(EndpointSlot slot, const LoadEstimate &load) const
 {
     const std::size_t cached = hints.cachedBlocks(slot, query.prefixHashes);
-    return expectedFirstToken(directory.state(slot), activities[slot], load, cached, query, settings, now);
+    return estimateCost(directory.state(slot), activities[slot], load, cached, query, settings, now);
 }
 
 double RouteCandidates::slowStartShare(EndpointSlot slot) const
--- a/src/libradishswitch/routing/routecost.cpp
+++ b/src/libradishswitch/routing/routecost.cpp
@@ -91,9 +91,8 @@
     return estimate;
 }
 
-RouteCost expectedFirstToken(const EndpointState &state, const EndpointActivity &activity, const LoadEstimate &load,
-                             std::size_t cachedBlocks, const RouteQuery &query, const RoutingSettings &settings,
-                             Instant now)
+RouteCost estimateCost(const EndpointState &state, const EndpointActivity &activity, const LoadEstimate &load,
+                       std::size_t cachedBlocks, const RouteQuery &query, const RoutingSettings &settings, Instant now)
 {
     RouteCost cost;
     cost.loadSeconds = load.seconds;
--- a/src/libradishswitch/routing/routecost.h
+++ b/src/libradishswitch/routing/routecost.h
@@ -40,9 +40,8 @@
 
 /// Expected cost of running the query at the endpoint, if the endpoint's cache holds the first `cachedBlocks` of the
 /// query's prefix hashes.
-RouteCost expectedFirstToken(const EndpointState &state, const EndpointActivity &activity, const LoadEstimate &load,
-                             std::size_t cachedBlocks, const RouteQuery &query, const RoutingSettings &settings,
-                             Instant now);
+RouteCost estimateCost(const EndpointState &state, const EndpointActivity &activity, const LoadEstimate &load,
+                       std::size_t cachedBlocks, const RouteQuery &query, const RoutingSettings &settings, Instant now);
 
 /// The capacity that the endpoint reports, or the default of the settings when it reports none.
 std::uint32_t capacityOf(const EndpointLoad &load, const RoutingSettings &settings);
--- a/tests/core/limits/overload_test.cpp
+++ b/tests/core/limits/overload_test.cpp
@@ -58,7 +58,7 @@
                 serve(*entry);
             }
         });
-        m_gapSeconds = kMeanTokens / (kEngines * kSlots * FakeEngine::kTokensPerSecondOfSlot * utilisation);
+        m_gapSeconds = kMeanTokens / (kEngines * kSlots * FakeEngine::kTokensPerSecondPerSlot * utilisation);
         m_end = m_timers.now() + kSpan;
         offerNext();
         m_timers.advance(kSpan);
@@ -182,7 +182,7 @@
             entry.router.noteFinished(endpoint, RunEnd::Ok, m_timers.now());
             const double tokens = static_cast<double>(request.cost);
             const Duration run =
-                Duration(static_cast<Duration::rep>(tokens / FakeEngine::kTokensPerSecondOfSlot * 1e6));
+                Duration(static_cast<Duration::rep>(tokens / FakeEngine::kTokensPerSecondPerSlot * 1e6));
             if (m_timers.now() < m_end && m_timers.now() <= waiting.arrived + kPatience + run) {
                 ++m_outcome.served;
                 m_outcome.goodput += tokens;
--- a/tests/core/routing/poolrouter_test.cpp
+++ b/tests/core/routing/poolrouter_test.cpp
@@ -50,7 +50,7 @@
     }
 
     /// Advances the time, with reports from the endpoints, until their slow start is over.
-    void settle(const std::vector<std::string> &names)
+    void passSlowStart(const std::vector<std::string> &names)
     {
         for (int i = 0; i < 11; ++i) {
             reportAll(names);
@@ -76,7 +76,7 @@
         return choice.ok() ? choice->endpoint.value() : std::string(failureName(failureCode(choice.status())));
     }
 
-    std::map<std::string, int> chooseTimes(int n, const RouteQuery &query)
+    std::map<std::string, int> countChoices(int n, const RouteQuery &query)
     {
         std::map<std::string, int> counts;
         for (int i = 0; i < n; ++i) {
@@ -128,7 +128,7 @@
     RouteQuery retry = query();
     retry.excluded = {EndpointId("a")};
 
-    EXPECT_EQ(chooseTimes(20, retry), (std::map<std::string, int>{{"b", 20}}));
+    EXPECT_EQ(countChoices(20, retry), (std::map<std::string, int>{{"b", 20}}));
 }
 
 TEST_F(PoolRouterTest, choose_otherModel_isRefused)
@@ -145,7 +145,7 @@
     report("near", "hall-a");
     report("far", "hall-b");
 
-    EXPECT_EQ(chooseTimes(20, query()), (std::map<std::string, int>{{"near", 20}}));
+    EXPECT_EQ(countChoices(20, query()), (std::map<std::string, int>{{"near", 20}}));
 }
 
 TEST_F(PoolRouterTest, choose_adapterLoadedAtOneEndpoint_prefersThatEndpoint)
@@ -157,7 +157,7 @@
     RouteQuery adapted = query();
     adapted.model = "drape:blinds";
 
-    EXPECT_EQ(chooseTimes(20, adapted), (std::map<std::string, int>{{"b", 20}}));
+    EXPECT_EQ(countChoices(20, adapted), (std::map<std::string, int>{{"b", 20}}));
 }
 
 TEST_F(PoolRouterTest, choose_promptCachedAtOneEndpoint_prefersThatEndpoint)
@@ -168,7 +168,7 @@
     prompt.prefixHashes = {1, 2, 3, 4, 5, 6};
     const std::string first = choose(prompt);
 
-    EXPECT_EQ(chooseTimes(20, prompt), (std::map<std::string, int>{{first, 20}}));
+    EXPECT_EQ(countChoices(20, prompt), (std::map<std::string, int>{{first, 20}}));
 }
 
 // All requests share one long system prompt. The endpoint that saw it first has the lowest cost for each of them, so
@@ -197,40 +197,40 @@
 // considers the load would keep sending runs there, and each caller would wait until its deadline.
 TEST_F(PoolRouterTest, choose_endpointAcceptsAndNeverAnswers_isAvoidedAfterHalfASecond)
 {
-    settle({"a", "b"});
+    passSlowStart({"a", "b"});
     m_router.noteDispatched(EndpointId("a"), 100, m_timers.now());
     for (int i = 0; i < 6; ++i) {
         m_router.noteDispatched(EndpointId("b"), 100, m_timers.now());
         m_router.noteFirstToken(EndpointId("b"), 100ms, m_timers.now());
     }
-    EXPECT_EQ(chooseTimes(20, query()), (std::map<std::string, int>{{"a", 20}}));
+    EXPECT_EQ(countChoices(20, query()), (std::map<std::string, int>{{"a", 20}}));
 
     m_timers.advance(500ms);
-    EXPECT_EQ(chooseTimes(20, query()), (std::map<std::string, int>{{"b", 20}}));
+    EXPECT_EQ(countChoices(20, query()), (std::map<std::string, int>{{"b", 20}}));
 }
 
 TEST_F(PoolRouterTest, choose_endpointFailsFiveTimes_isEjectedAndThenProbedOnce)
 {
-    settle({"a", "b", "c"});
+    passSlowStart({"a", "b", "c"});
     for (int i = 0; i < 5; ++i) {
         run("a", RunEnd::Failed);
     }
     EXPECT_TRUE(m_router.isEjected(EndpointId("a"), m_timers.now()));
-    EXPECT_EQ(chooseTimes(50, query()).count("a"), 0u);
+    EXPECT_EQ(countChoices(50, query()).count("a"), 0u);
 
     m_timers.advance(3s);
     reportAll({"a", "b", "c"});
-    EXPECT_GT(chooseTimes(50, query())["a"], 0);
+    EXPECT_GT(countChoices(50, query())["a"], 0);
     m_router.noteDispatched(EndpointId("a"), 100, m_timers.now());
-    EXPECT_EQ(chooseTimes(50, query()).count("a"), 0u);
+    EXPECT_EQ(countChoices(50, query()).count("a"), 0u);
 
     m_router.noteFinished(EndpointId("a"), RunEnd::Ok, m_timers.now());
-    EXPECT_GT(chooseTimes(50, query())["a"], 0);
+    EXPECT_GT(countChoices(50, query())["a"], 0);
 }
 
 TEST_F(PoolRouterTest, choose_probeFails_isEjectedForTwiceAsLong)
 {
-    settle({"a", "b", "c"});
+    passSlowStart({"a", "b", "c"});
     for (int i = 0; i < 5; ++i) {
         run("a", RunEnd::Failed);
     }
@@ -246,7 +246,7 @@
 
 TEST_F(PoolRouterTest, choose_halfOfRunsFailInAWindow_isEjected)
 {
-    settle({"a", "b"});
+    passSlowStart({"a", "b"});
     for (int i = 0; i < 5; ++i) {
         run("a", RunEnd::Ok);
         run("a", RunEnd::Failed);
@@ -259,7 +259,7 @@
 // request would be refused, including those that would succeed.
 TEST_F(PoolRouterTest, choose_allEndpointsFail_atMostHalfAreEjected)
 {
-    settle({"a", "b", "c", "d"});
+    passSlowStart({"a", "b", "c", "d"});
     for (int i = 0; i < 20; ++i) {
         for (const char *name : {"a", "b", "c", "d"}) {
             run(name, RunEnd::Failed);
@@ -270,14 +270,14 @@
     };
 
     EXPECT_EQ(ejected("a") + ejected("b") + ejected("c") + ejected("d"), 2);
-    EXPECT_EQ(chooseTimes(100, query()).size(), 2u);
+    EXPECT_EQ(countChoices(100, query()).size(), 2u);
 }
 
 // One endpoint is ejected, and the connection to the only other one is lost. The ejected endpoint may have recovered,
 // and is the only one left to try.
 TEST_F(PoolRouterTest, choose_onlyEjectedEndpointsLeft_usesThem)
 {
-    settle({"a", "b"});
+    passSlowStart({"a", "b"});
     for (int i = 0; i < 5; ++i) {
         run("a", RunEnd::Failed);
     }
@@ -301,7 +301,7 @@
     }
     RouteQuery fromLostZone = query();
     fromLostZone.zone = "hall-c";
-    const std::map<std::string, int> counts = chooseTimes(200, fromLostZone);
+    const std::map<std::string, int> counts = countChoices(200, fromLostZone);
 
     EXPECT_EQ(counts.size(), 4u);
     EXPECT_EQ(counts.count("c1") + counts.count("c2"), 0u);
@@ -313,7 +313,7 @@
 // work.
 TEST_F(PoolRouterTest, choose_allEndpointsRestart_refusedAtOnceAndThenServed)
 {
-    settle({"a", "b"});
+    passSlowStart({"a", "b"});
     for (const char *name : {"a", "b"}) {
         m_directory.noteConnectionLost(EndpointId(name), m_timers.now());
     }
@@ -326,18 +326,18 @@
         fresh.incarnation = IncarnationId(std::string(name) + "-second");
         m_directory.applyReport(fresh, m_timers.now());
     }
-    EXPECT_EQ(chooseTimes(100, query()).size(), 2u);
+    EXPECT_EQ(countChoices(100, query()).size(), 2u);
 }
 
 // A new endpoint has an empty queue and so has the lowest cost for all requests at once.
 TEST_F(PoolRouterTest, choose_newEndpointAmongOld_getsFewRequestsAtFirst)
 {
-    settle({"a", "b", "c"});
+    passSlowStart({"a", "b", "c"});
     report("new");
-    EXPECT_LT(chooseTimes(400, query())["new"], 40);
+    EXPECT_LT(countChoices(400, query())["new"], 40);
 
-    settle({"a", "b", "c", "new"});
-    EXPECT_GT(chooseTimes(400, query())["new"], 60);
+    passSlowStart({"a", "b", "c", "new"});
+    EXPECT_GT(countChoices(400, query())["new"], 60);
 }
 
 TEST_F(PoolRouterTest, hints_endpointRestarts_areDropped)
--- a/tests/core/routing/routingload_test.cpp
+++ b/tests/core/routing/routingload_test.cpp
@@ -27,7 +27,7 @@
         PoolRouter router;
     };
 
-    struct Offer {
+    struct Scenario {
         std::string policy;
         int engines = 8;
         std::uint32_t slots = 8;
@@ -45,28 +45,28 @@
         double hitRatio = 0;
     };
 
-    Outcome run(const Offer &offer, const RoutingSettings &settings = {})
+    Outcome run(const Scenario &scenario, const RoutingSettings &settings = {})
     {
-        m_offer = offer;
-        m_random = SeededRandom(offer.seed);
+        m_scenario = scenario;
+        m_random = SeededRandom(scenario.seed);
         m_firstTokens.clear();
-        m_conversations.assign(static_cast<std::size_t>(offer.conversations), {});
+        m_conversations.assign(static_cast<std::size_t>(scenario.conversations), {});
         m_engines.clear();
         m_routers.clear();
-        for (int i = 0; i < offer.engines; ++i) {
-            m_engines.push_back(std::make_unique<FakeEngine>(m_timers, offer.slots, offer.cacheBlocks));
+        for (int i = 0; i < scenario.engines; ++i) {
+            m_engines.push_back(std::make_unique<FakeEngine>(m_timers, scenario.slots, scenario.cacheBlocks));
         }
-        for (int i = 0; i < offer.routers; ++i) {
-            m_routers.push_back(std::make_unique<Router>(offer.seed * 100 + i, settings));
+        for (int i = 0; i < scenario.routers; ++i) {
+            m_routers.push_back(std::make_unique<Router>(scenario.seed * 100 + i, settings));
         }
         const TimerId reports = m_timers.every(kReportInterval, [this] {
             sendReports();
         });
         sendReports();
-        m_timers.advance(offer.reportAge);
-        m_end = m_timers.now() + kSpan;
-        offerNext();
-        m_timers.advance(kSpan);
+        m_timers.advance(scenario.reportAge);
+        m_end = m_timers.now() + kTestDuration;
+        scheduleRequests();
+        m_timers.advance(kTestDuration);
         m_timers.cancel(reports);
         m_timers.advance(600s);
         return outcome();
@@ -74,7 +74,7 @@
 
 private:
     static constexpr Duration kReportInterval = 500ms;
-    static constexpr Duration kSpan = 120s;
+    static constexpr Duration kTestDuration = 120s;
     static constexpr std::int64_t kAnswerTokens = 100;
     static constexpr std::int64_t kTokensPerBlock = 128;
     static constexpr std::size_t kSystemBlocks = 8;
@@ -92,9 +92,9 @@
             report.pool = PoolId("pool");
             report.models = {"drape"};
             report.load = m_engines[i]->load();
-            report.load.age = m_offer.reportAge;
+            report.load.age = m_scenario.reportAge;
             report.cacheEvents = m_engines[i]->takeCacheEvents();
-            m_timers.after(m_offer.reportAge, [this, report] {
+            m_timers.after(m_scenario.reportAge, [this, report] {
                 for (const auto &router : m_routers) {
                     router->directory.applyReport(report, m_timers.now());
                 }
@@ -102,16 +102,17 @@
         }
     }
 
-    void offerNext()
+    void scheduleRequests()
     {
         if (m_timers.now() >= m_end) {
             return;
         }
-        offerOne();
-        const double capacity = m_offer.engines * m_offer.slots * FakeEngine::kTokensPerSecondOfSlot / kAnswerTokens;
-        const double gap = -std::log(1 - m_random.fraction()) / (capacity * m_offer.utilisation);
+        sendRequest();
+        const double capacity =
+            m_scenario.engines * m_scenario.slots * FakeEngine::kTokensPerSecondPerSlot / kAnswerTokens;
+        const double gap = -std::log(1 - m_random.fraction()) / (capacity * m_scenario.utilisation);
         m_timers.after(Duration(static_cast<Duration::rep>(gap * 1e6)), [this] {
-            offerNext();
+            scheduleRequests();
         });
     }
 
@@ -134,12 +135,12 @@
         return conversation;
     }
 
-    void offerOne()
+    void sendRequest()
     {
         Router &router = *m_routers[m_random.below(m_routers.size())];
         RouteQuery query;
         query.pool = PoolId("pool");
-        query.policy = m_offer.policy;
+        query.policy = m_scenario.policy;
         query.model = "drape";
         query.prefixHashes = nextPrompt();
         query.promptTokens = 100 + static_cast<std::int64_t>(query.prefixHashes.size()) * kTokensPerBlock;
@@ -172,7 +173,7 @@
         std::int64_t hit = 0;
         for (const auto &engine : m_engines) {
             outcome.longestQueue = std::max(outcome.longestQueue, engine->longestQueue());
-            asked += engine->blocksAsked();
+            asked += engine->blocksRequested();
             hit += engine->blocksHit();
         }
         outcome.hitRatio = asked == 0 ? 0 : static_cast<double>(hit) / static_cast<double>(asked);
@@ -181,7 +182,7 @@
 
     VirtualTimerService m_timers;
     SeededRandom m_random;
-    Offer m_offer;
+    Scenario m_scenario;
     Instant m_end{};
     std::uint64_t m_sequence = 0;
     std::vector<std::unique_ptr<FakeEngine>> m_engines;
@@ -195,12 +196,12 @@
 // wait seconds for the first token although most endpoints are idle.
 TEST_F(RoutingLoadTest, twentyRouters_reportsFiveSecondsOld_firstTokenNearRoundRobin)
 {
-    Offer offer;
-    offer.routers = 20;
-    offer.reportAge = 5s;
-    const Outcome outcome = run(offer);
-    offer.policy = "round-robin";
-    const Outcome baseline = run(offer);
+    Scenario scenario;
+    scenario.routers = 20;
+    scenario.reportAge = 5s;
+    const Outcome outcome = run(scenario);
+    scenario.policy = "round-robin";
+    const Outcome baseline = run(scenario);
 
     EXPECT_LE(outcome.firstTokenP95, baseline.firstTokenP95 * 5 / 4);
     EXPECT_LE(outcome.longestQueue, baseline.longestQueue * 2);
@@ -208,13 +209,13 @@
 
 TEST_F(RoutingLoadTest, oneRouter_reportsFiveSecondsOld_ownRunsStillCounted)
 {
-    Offer offer;
-    offer.utilisation = 0.9;
-    offer.reportAge = 5s;
-    const Outcome outcome = run(offer);
-    offer.policy = "round-robin";
+    Scenario scenario;
+    scenario.utilisation = 0.9;
+    scenario.reportAge = 5s;
+    const Outcome outcome = run(scenario);
+    scenario.policy = "round-robin";
 
-    EXPECT_LT(outcome.firstTokenP95, run(offer).firstTokenP95);
+    EXPECT_LT(outcome.firstTokenP95, run(scenario).firstTokenP95);
 }
 
 // Conversations grow by one turn at a time, and each turn may reach any router. An endpoint that has the conversation
@@ -222,13 +223,13 @@
 // conversation.
 TEST_F(RoutingLoadTest, growingConversations_cachesLimited_moreHitsAndFasterThanRoundRobin)
 {
-    Offer offer;
-    offer.utilisation = 0.6;
-    offer.reportAge = 100ms;
-    offer.conversations = 300;
-    const Outcome outcome = run(offer);
-    offer.policy = "round-robin";
-    const Outcome baseline = run(offer);
+    Scenario scenario;
+    scenario.utilisation = 0.6;
+    scenario.reportAge = 100ms;
+    scenario.conversations = 300;
+    const Outcome outcome = run(scenario);
+    scenario.policy = "round-robin";
+    const Outcome baseline = run(scenario);
 
     EXPECT_GT(outcome.hitRatio, baseline.hitRatio + 0.15);
     EXPECT_LT(outcome.firstTokenP95, baseline.firstTokenP95 * 3 / 4);
--- a/tests/fakes/fakeengine.h
+++ b/tests/fakes/fakeengine.h
@@ -26,7 +26,7 @@
     };
 
     static constexpr double kPrefillTokensPerSecond = 8000;
-    static constexpr double kTokensPerSecondOfSlot = 50;
+    static constexpr double kTokensPerSecondPerSlot = 50;
 
     FakeEngine(RadishSwitch::TimerService &timers, std::uint32_t slots, std::size_t cacheBlocks = 1024)
         : m_timers(timers)
@@ -48,7 +48,7 @@
         load.running = m_running;
         load.queued = static_cast<std::uint32_t>(m_queue.size());
         load.capacity = m_slots;
-        load.tokensPerSecond = kTokensPerSecondOfSlot * m_slots;
+        load.tokensPerSecond = kTokensPerSecondPerSlot * m_slots;
         for (const Run &run : m_queue) {
             load.queuedTokens += run.answerTokens;
         }
@@ -65,9 +65,9 @@
         return m_longestQueue;
     }
 
-    std::int64_t blocksAsked() const
+    std::int64_t blocksRequested() const
     {
-        return m_blocksAsked;
+        return m_blocksRequested;
     }
 
     std::int64_t blocksHit() const
@@ -95,7 +95,7 @@
         ++m_running;
         const double missing = 1 - useCache(run.prefixHashes);
         const Duration prefill = span(missing * static_cast<double>(run.promptTokens) / kPrefillTokensPerSecond);
-        const Duration answer = span(static_cast<double>(run.answerTokens) / kTokensPerSecondOfSlot);
+        const Duration answer = span(static_cast<double>(run.answerTokens) / kTokensPerSecondPerSlot);
         m_timers.after(prefill, std::move(run.firstToken));
         m_timers.after(prefill + answer, [this, done = std::move(run.done)] {
             --m_running;
@@ -132,7 +132,7 @@
         }
         addEvent(true, std::move(stored));
         addEvent(false, std::move(evicted));
-        m_blocksAsked += static_cast<std::int64_t>(hashes.size());
+        m_blocksRequested += static_cast<std::int64_t>(hashes.size());
         m_blocksHit += hits;
         return hashes.empty() ? 0 : static_cast<double>(hits) / static_cast<double>(hashes.size());
     }
@@ -153,6 +153,6 @@
     std::vector<RadishSwitch::CacheEvent> m_events;
     std::uint64_t m_eventSequence = 0;
     std::size_t m_longestQueue = 0;
-    std::int64_t m_blocksAsked = 0;
+    std::int64_t m_blocksRequested = 0;
     std::int64_t m_blocksHit = 0;
 };
