--- a/src/libradishswitch/serving/callplacement.cpp
+++ b/src/libradishswitch/serving/callplacement.cpp
@@ -327,7 +327,7 @@
 
 void CallPlacement::forget(EndpointSlot slot)
 {
-    m_hints.forget(slot);
+    m_hints.removeEndpoint(slot);
 }
 
 Duration CallPlacement::expectedFirstAnswer(EndpointSlot slot, const PlacementQuery &query, Instant now) const
