--- a/src/libradishswitch/base/tokenbucket.cpp
+++ b/src/libradishswitch/base/tokenbucket.cpp
@@ -10,7 +10,8 @@
 {
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-// Sums of fractions come out a little low; a cost that is short by less than this is taken.
+// Sums of fractions are slightly too low because of rounding. A cost is taken when the level is short of it by no more
+// than this.
 constexpr double kCostToleranceSeconds = 1e-6;
 
 }
@@ -19,7 +20,7 @@
     : m_rate(rate)
     , m_burst(burst)
     , m_level(burst)
-    , m_at(now)
+    , m_updatedAt(now)
 {
 }
 
@@ -38,13 +39,13 @@
 void TokenBucket::take(double cost, Instant now)
 {
     m_level = levelAt(now) - cost;
-    m_at = now;
+    m_updatedAt = now;
 }
 
-void TokenBucket::giveBack(double amount, Instant now)
+void TokenBucket::refund(double amount, Instant now)
 {
     m_level = std::min(m_burst, levelAt(now) + amount);
-    m_at = now;
+    m_updatedAt = now;
 }
 
 void TokenBucket::setRate(double rate, double burst, Instant now)
@@ -52,12 +53,12 @@
     m_level = std::min(burst, levelAt(now));
     m_rate = rate;
     m_burst = burst;
-    m_at = now;
+    m_updatedAt = now;
 }
 
 double TokenBucket::levelAt(Instant now) const
 {
-    const double passed = static_cast<double>((now - m_at).count()) / kMicrosecondsPerSecond;
+    const double passed = static_cast<double>((now - m_updatedAt).count()) / kMicrosecondsPerSecond;
     return std::min(m_burst, m_level + m_rate * std::max(0.0, passed));
 }
 
--- a/src/libradishswitch/routing/roundrobinpolicy.h
+++ b/src/libradishswitch/routing/roundrobinpolicy.h
@@ -5,7 +5,7 @@
 namespace RadishSwitch
 {
 
-/// Each endpoint in turn, whatever its load.
+/// Chooses the endpoints in rotation, regardless of their load.
 class RoundRobinPolicy : public RoutingPolicy
 {
 public:
@@ -19,8 +19,8 @@
     std::optional<EndpointSlot> choose(const RouteCandidates &candidates) override;
 
 private:
-    bool m_hasTurn = false;
-    std::size_t m_turn = 0;
+    bool m_hasCursor = false;
+    std::size_t m_cursor = 0;
 };
 
 }
--- a/src/libradishswitch/routing/routecandidates.h
+++ b/src/libradishswitch/routing/routecandidates.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "base/randomsource.h"
+#include "routing/endpointactivity.h"
 #include "routing/endpointdirectory.h"
-#include "routing/endpointuse.h"
 #include "routing/prefixcachehints.h"
 #include "routing/routecost.h"
 
@@ -11,30 +11,32 @@
 namespace RadishSwitch
 {
 
-/// What a policy sees of one decision: the endpoints that answer for the model, and what is known of them.
+/// The input of a routing policy for one decision: the endpoints that serve the model, and what is known about them.
 struct RouteCandidates {
-    /// How far to bend the rules on which endpoints are usable.
-    enum class Strictness {
-        Usual,
-        /// Nothing usual is left: take ejected ones too, rather than have no endpoint at all.
-        AlsoEjected,
+    /// Whether ejected endpoints may be chosen.
+    enum class EjectedEndpoints {
+        Excluded,
+        /// Used when no other endpoint is left: an ejected endpoint is better than none.
+        Included,
     };
 
     const RouteQuery &query;
     const std::vector<EndpointSlot> &slots;
     const EndpointDirectory &directory;
-    const std::vector<EndpointUse> &uses;
+    const std::vector<EndpointActivity> &activities;
     const PrefixCacheHints &hints;
     const PoolLoad &poolLoad;
     const RoutingSettings &settings;
     RandomSource &random;
-    Strictness strictness;
+    EjectedEndpoints ejectedEndpoints;
     Instant now;
 
+    /// Whether the endpoint may be chosen for the query.
     bool isUsable(EndpointSlot slot) const;
     LoadEstimate load(EndpointSlot slot) const;
     RouteCost cost(EndpointSlot slot, const LoadEstimate &load) const;
-    /// The share of its turns that a new endpoint takes, from the floor up to one.
+    /// The probability with which an endpoint in its slow start is considered, rising from
+    /// `RoutingSettings::slowStartFloor` to 1.
     double slowStartShare(EndpointSlot slot) const;
 };
 
--- a/src/libradishswitch/serving/callplacement.cpp
+++ b/src/libradishswitch/serving/callplacement.cpp
@@ -320,14 +320,15 @@
     const auto ejected = std::ranges::count_if(slots, [&](EndpointSlot other) {
         return m_registry.at(other).ejection.isEjected(now);
     });
-    if (static_cast<double>(ejected + 1) <= m_settings.ejection.ejectedShare * static_cast<double>(slots.size())) {
+    if (static_cast<double>(ejected + 1)
+        <= m_settings.ejection.maximumEjectedShare * static_cast<double>(slots.size())) {
         m_registry.at(slot).ejection.eject(m_settings.ejection, now);
     }
 }
 
 void CallPlacement::forget(EndpointSlot slot)
 {
-    m_hints.forget(slot);
+    m_hints.removeEndpoint(slot);
 }
 
 Duration CallPlacement::expectedFirstAnswer(EndpointSlot slot, const PlacementQuery &query, Instant now) const
--- a/tests/core/limits/overload_test.cpp
+++ b/tests/core/limits/overload_test.cpp
@@ -47,7 +47,7 @@
         }
         for (std::uint64_t i = 0; i < kEntries; ++i) {
             m_entries.push_back(std::make_unique<Entry>(i));
-            m_entries.back()->router.setPartOfCapacity(i, kEntries);
+            m_entries.back()->router.setCapacityShare(i, kEntries);
         }
         sendReports();
         const TimerId reports = m_timers.every(500ms, [this] {
@@ -58,7 +58,7 @@
                 serve(*entry);
             }
         });
-        m_gapSeconds = kMeanTokens / (kEngines * kSlots * FakeEngine::kTokensPerSecondOfSlot * utilisation);
+        m_gapSeconds = kMeanTokens / (kEngines * kSlots * FakeEngine::kTokensPerSecondPerSlot * utilisation);
         m_end = m_timers.now() + kSpan;
         offerNext();
         m_timers.advance(kSpan);
@@ -182,7 +182,7 @@
             entry.router.noteFinished(endpoint, RunEnd::Ok, m_timers.now());
             const double tokens = static_cast<double>(request.cost);
             const Duration run =
-                Duration(static_cast<Duration::rep>(tokens / FakeEngine::kTokensPerSecondOfSlot * 1e6));
+                Duration(static_cast<Duration::rep>(tokens / FakeEngine::kTokensPerSecondPerSlot * 1e6));
             if (m_timers.now() < m_end && m_timers.now() <= waiting.arrived + kTimeToDeadline + run) {
                 ++m_outcome.served;
                 m_outcome.goodput += tokens;
--- a/tests/core/routing/endpointdirectory_test.cpp
+++ b/tests/core/routing/endpointdirectory_test.cpp
@@ -31,9 +31,9 @@
             {m_endpoint, "10.0.0.1:7001", PoolId("drape-llm"), "hall-a", "south-central", isLeaving}, m_timers.now());
     }
 
-    EndpointStanding standing() const
+    EndpointStatus status() const
     {
-        return m_directory.standing(*m_directory.slotOf(m_endpoint), m_timers.now());
+        return m_directory.status(*m_directory.slotOf(m_endpoint), m_timers.now());
     }
 
     const EndpointId m_endpoint{"a"};
@@ -42,28 +42,29 @@
     EndpointDirectory m_directory;
 };
 
-// The platform's list lags. It still names an endpoint whose instance is gone; nobody answers there, and a request sent
-// there is lost until it times out. Only what an agent says makes an endpoint eligible.
-TEST_F(EndpointDirectoryTest, standing_listedButNeverHeard_isNotEligible)
+// The platform's list lags and still contains an endpoint whose instance no longer exists. A request sent there would
+// be lost until it times out. Only the agent's reports make an endpoint eligible.
+TEST_F(EndpointDirectoryTest, status_listedButNeverReported_isNotEligible)
 {
     list();
 
-    EXPECT_EQ(standing(), EndpointStanding::NeverHeard);
+    EXPECT_EQ(status(), EndpointStatus::NeverReported);
 }
 
-// The list lacks an endpoint that lives and reports. Leaving it out would refuse requests while it stands idle.
-TEST_F(EndpointDirectoryTest, standing_heardButUnlisted_isEligible)
+// The list does not contain an endpoint that is alive and reports. Leaving it out would refuse requests while it is
+// idle.
+TEST_F(EndpointDirectoryTest, status_reportedButUnlisted_isEligible)
 {
     list();
     report();
     m_directory.applyUnlisted(m_endpoint, m_timers.now());
 
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
-// The endpoint begins to leave; whichever news is first stops new work at once, and good news from the other source,
-// which is older, does not undo it.
-TEST_F(EndpointDirectoryTest, leaving_agentSaysSoFirst_listDoesNotUndoIt)
+// The endpoint starts to leave. The first source that says so, the agent or the list, stops new work at once. The other
+// source, whose information is older, must not undo that.
+TEST_F(EndpointDirectoryTest, status_agentReportsLeavingFirst_staysLeavingWhenListDisagrees)
 {
     list();
     report();
@@ -72,51 +73,51 @@
     m_directory.applyReport(leaving, m_timers.now());
     list();
 
-    EXPECT_EQ(standing(), EndpointStanding::Leaving);
+    EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
-TEST_F(EndpointDirectoryTest, leaving_listSaysSoFirst_agentsReportDoesNotUndoIt)
+TEST_F(EndpointDirectoryTest, status_listedAsLeavingFirst_staysLeavingWhenAgentDisagrees)
 {
     report();
     list(true);
     report();
 
-    EXPECT_EQ(standing(), EndpointStanding::Leaving);
+    EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
-TEST_F(EndpointDirectoryTest, leaving_unlistedAfterwards_staysLeaving)
+TEST_F(EndpointDirectoryTest, status_leavingAndThenUnlisted_staysLeaving)
 {
     report();
     list(true);
     m_directory.applyUnlisted(m_endpoint, m_timers.now());
     report();
 
-    EXPECT_EQ(standing(), EndpointStanding::Leaving);
+    EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
-// The instance is cut off before it can say a word, and the list lags by minutes. Its silence has to do: the caller's
-// request would hang there.
-TEST_F(EndpointDirectoryTest, silence_twoSecondsLong_isNotEligibleUntilHeardAgain)
+// The instance is cut off before its agent can report that it leaves, and the list lags by minutes. The missing reports
+// alone must take the endpoint out of use, or requests would hang there.
+TEST_F(EndpointDirectoryTest, status_noReportForTwoSeconds_isSilentUntilNextReport)
 {
     report();
     m_timers.advance(1999ms);
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 
     m_timers.advance(1ms);
-    EXPECT_EQ(standing(), EndpointStanding::Silent);
+    EXPECT_EQ(status(), EndpointStatus::Silent);
 
     report();
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
-TEST_F(EndpointDirectoryTest, connectionLost_heardAgain_isEligibleAgain)
+TEST_F(EndpointDirectoryTest, noteConnectionLost_reportAfterwards_isEligibleAgain)
 {
     report();
     m_directory.noteConnectionLost(m_endpoint, m_timers.now());
-    EXPECT_EQ(standing(), EndpointStanding::ConnectionLost);
+    EXPECT_EQ(status(), EndpointStatus::ConnectionLost);
 
     report();
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
 TEST_F(EndpointDirectoryTest, applyReport_oldSequence_isIgnored)
@@ -127,12 +128,12 @@
     m_directory.applyReport(late, m_timers.now());
 
     EXPECT_FALSE(m_directory.applyReport(early, m_timers.now()));
-    EXPECT_EQ(standing(), EndpointStanding::Leaving);
+    EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
-// The agent restarts under the same name while the list still says "leaving" for its earlier life. Were that believed,
-// a rolling restart would leave the pool empty for as long as the list lags.
-TEST_F(EndpointDirectoryTest, freshIncarnation_listStillSaysLeaving_isEligible)
+// The agent restarts under the same name while the list still shows its earlier incarnation as leaving. If the
+// directory believed that, a rolling restart would leave the pool empty for as long as the list lags.
+TEST_F(EndpointDirectoryTest, status_newIncarnationListStillShowsLeaving_isEligible)
 {
     report("first");
     list(true);
@@ -140,12 +141,12 @@
     report("second");
     list(true);
 
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
-// As above, but the instance is being taken away for good and only its agent was restarted: the list goes on saying so
-// for longer than it can lag.
-TEST_F(EndpointDirectoryTest, freshIncarnation_listSaysLeavingForLongerThanItLags_isLeaving)
+// As above, but the instance is being removed for good and only its agent was restarted. The list keeps showing it as
+// leaving for longer than the list can lag.
+TEST_F(EndpointDirectoryTest, status_newIncarnationListedAsLeavingBeyondListLag_isLeaving)
 {
     report("first");
     list(true);
@@ -156,11 +157,11 @@
         list(true);
     }
 
-    EXPECT_EQ(standing(), EndpointStanding::Leaving);
+    EXPECT_EQ(status(), EndpointStatus::Leaving);
 }
 
-// A report of the earlier life was held up in the network. Taken for a new start, it would bring back the dead life's
-// load and its word that it leaves.
+// A report of the earlier incarnation was delayed in the network. If it counted as a new start, it would bring back the
+// load and the leaving state of the dead incarnation.
 TEST_F(EndpointDirectoryTest, applyReport_ofEarlierIncarnation_isIgnored)
 {
     report("first");
@@ -169,10 +170,10 @@
     report("second");
 
     EXPECT_FALSE(m_directory.applyReport(delayed, m_timers.now()));
-    EXPECT_EQ(standing(), EndpointStanding::Eligible);
+    EXPECT_EQ(status(), EndpointStatus::Eligible);
 }
 
-TEST_F(EndpointDirectoryTest, applyLoad_laterThanReport_isTaken)
+TEST_F(EndpointDirectoryTest, applyLoad_laterThanReport_isApplied)
 {
     report();
     m_timers.advance(100ms);
@@ -186,11 +187,11 @@
     EXPECT_EQ(m_directory.find(m_endpoint)->load.running, 3u);
 }
 
-TEST_F(EndpointDirectoryTest, forgetGone_silentForLongAndUnlisted_isForgotten)
+TEST_F(EndpointDirectoryTest, removeSilent_noReportForLongAndUnlisted_isRemoved)
 {
     report();
     m_timers.advance(60s);
-    m_directory.forgetGone(m_timers.now());
+    m_directory.removeSilent(m_timers.now());
 
     EXPECT_EQ(m_directory.find(m_endpoint), nullptr);
     EXPECT_TRUE(m_directory.serving(PoolId("drape-llm"), "").empty());
--- a/tests/core/serving/coalescingstore_test.cpp
+++ b/tests/core/serving/coalescingstore_test.cpp
@@ -72,7 +72,7 @@
 
 TEST_F(CoalescingStoreTest, list_storeUnavailable_failsForAllWaiters)
 {
-    platform.setAway(true);
+    platform.setUnavailable(true);
     store.list("config/", record());
     store.list("config/", record());
     tasks.runAll();
--- a/tests/fakes/memoryobjectstore.h
+++ b/tests/fakes/memoryobjectstore.h
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-/// The platform's object API in memory, with the faults that the real one has: away, answers lost after the write,
-/// answers held back. Every answer goes through the task queue.
+/// The platform's object store in memory, with the faults of the real one: it can be unavailable, lose answers after a
+/// write took effect, or not answer at all. All answers go through the task queue.
 class MemoryObjectStore : public RadishSwitch::ObjectStore
 {
 public:
@@ -22,10 +22,10 @@
     {
     }
 
-    /// While away, every call fails with StoreUnavailable and has no effect.
-    void setAway(bool away)
+    /// While unavailable, every call fails with StoreUnavailable and has no effect.
+    void setUnavailable(bool isUnavailable)
     {
-        m_isAway = away;
+        m_isUnavailable = isUnavailable;
     }
 
     /// While silent, calls take effect but are never answered.
@@ -40,7 +40,8 @@
         m_lostAnswers = n;
     }
 
-    /// Watches that wait now never hear of anything, as when something between the two ends has lost track of them.
+    /// The watches that are waiting now are never answered, as when a proxy between the two ends has lost track of the
+    /// connection.
     void dropWatches()
     {
         m_watchers.clear();
@@ -64,7 +65,7 @@
     void get(const std::string &key, Callback<StoredObject> callback) override
     {
         ++m_calls;
-        if (m_isAway) {
+        if (m_isUnavailable) {
             return answer(std::move(callback), unavailable());
         }
         const auto it = m_objects.find(key);
@@ -78,7 +79,7 @@
              Callback<std::uint64_t> callback) override
     {
         ++m_calls;
-        if (m_isAway) {
+        if (m_isUnavailable) {
             return answer(std::move(callback), unavailable());
         }
         const auto it = m_objects.find(key);
@@ -102,7 +103,7 @@
         ++m_calls;
         absl::Status status;
         const auto it = m_objects.find(key);
-        if (m_isAway) {
+        if (m_isUnavailable) {
             status = unavailable();
         } else if (it == m_objects.end()) {
             status = RadishSwitch::makeFailure(FailureCode::ObjectMissing, key);
@@ -122,7 +123,7 @@
     void list(const std::string &prefix, Callback<StoreChanges> callback) override
     {
         ++m_calls;
-        if (m_isAway) {
+        if (m_isUnavailable) {
             return answer(std::move(callback), unavailable());
         }
         answer(std::move(callback), absl::StatusOr<StoreChanges>(changesAfter(prefix, 0)));
@@ -131,7 +132,7 @@
     void watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback) override
     {
         ++m_calls;
-        if (m_isAway) {
+        if (m_isUnavailable) {
             return answer(std::move(callback), unavailable());
         }
         StoreChanges changes = changesAfter(prefix, fromVersion);
@@ -197,11 +198,11 @@
 
     RadishSwitch::TaskQueue &m_tasks;
     std::map<std::string, StoredObject> m_objects;
-    /// When objects that are gone were removed.
+    /// The version at which each removed object was removed.
     std::map<std::string, std::uint64_t> m_removed;
     std::vector<Watcher> m_watchers;
     std::uint64_t m_version = 0;
-    bool m_isAway = false;
+    bool m_isUnavailable = false;
     bool m_isSilent = false;
     int m_lostAnswers = 0;
     int m_calls = 0;
