--- a/src/agent/agentruns.cpp
+++ b/src/agent/agentruns.cpp
@@ -310,7 +310,7 @@
     if (it == m_runs.end()) {
         return;
     }
-    const KeptAnswer *answer = m_answers.find(attempt);
+    const BufferedAnswer *answer = m_answers.find(attempt);
     endRun(attempt, it->second->finish(status, answer->bytes));
 }
 
@@ -403,7 +403,7 @@
 
 void AgentRuns::pump(const AnswerReaders::ReaderPointer &reader)
 {
-    const KeptAnswer *answer = m_answers.find(reader->attempt());
+    const BufferedAnswer *answer = m_answers.find(reader->attempt());
     const bool isEnded = answer != nullptr && answer->end.has_value();
     reader->pump(m_answers, isEnded ? m_monitor.load() : wire::Load(), [weak = weak_from_this(), reader] {
         if (const auto self = weak.lock()) {
@@ -426,7 +426,7 @@
 
 void AgentRuns::noteDropped()
 {
-    for (const AttemptId &attempt : m_answers.takeDropped()) {
+    for (const AttemptId &attempt : m_answers.takeEvicted()) {
         m_table.noteAnswerGone(attempt);
     }
 }
--- a/src/agent/answerreader.cpp
+++ b/src/agent/answerreader.cpp
@@ -40,7 +40,7 @@
     if (m_isFinished || m_isWaiting) {
         return;
     }
-    const KeptAnswer *answer = answers.find(m_attempt);
+    const BufferedAnswer *answer = answers.find(m_attempt);
     if (answer == nullptr) {
         sendFailed(withUnknownOutcome(makeFailure(FailureCode::AnswerGone, "the answer is not kept any more")));
         return finish();
--- a/src/libradishswitch/requests/answerbuffer.cpp
+++ b/src/libradishswitch/requests/answerbuffer.cpp
@@ -24,7 +24,7 @@
 absl::Status AnswerBuffer::open(const AttemptId &attempt)
 {
     if (m_totalBytes >= m_settings.maximumBytes && m_finished.empty()) {
-        return makeFailure(FailureCode::Overloaded, "running answers fill the agent's memory", kRetryWhenFull);
+        return makeFailure(FailureCode::Overloaded, "running answers fill the agent's answer buffer", kRetryWhenFull);
     }
     m_answers.try_emplace(attempt);
     return absl::OkStatus();
@@ -45,11 +45,12 @@
         return makeFailure(FailureCode::RunUnknown, "no answer is being written under this attempt");
     }
     if (it->second.bytes.size() + bytes.size() > m_settings.maximumAnswerBytes) {
-        return makeFailure(FailureCode::MessageTooLarge, "the answer is larger than the agent keeps");
+        return makeFailure(FailureCode::MessageTooLarge,
+                           "the answer exceeds the size limit of the agent's answer buffer");
     }
     it->second.bytes.append(bytes);
     m_totalBytes += bytes.size();
-    makeRoom();
+    evictToFit();
     return absl::OkStatus();
 }
 
@@ -62,7 +63,7 @@
     it->second.end = std::move(end);
     it->second.bytes.shrink_to_fit();
     m_finished.push_back({m_timers.now(), attempt});
-    makeRoom();
+    evictToFit();
 }
 
 void AnswerBuffer::noteFetched(const AttemptId &attempt)
@@ -73,7 +74,7 @@
     }
 }
 
-const KeptAnswer *AnswerBuffer::find(const AttemptId &attempt) const
+const BufferedAnswer *AnswerBuffer::find(const AttemptId &attempt) const
 {
     const auto it = m_answers.find(attempt);
     return it == m_answers.end() ? nullptr : &it->second;
@@ -82,7 +83,7 @@
 absl::StatusOr<std::string_view> AnswerBuffer::read(const AttemptId &attempt, std::uint64_t offset,
                                                     std::size_t limit) const
 {
-    const KeptAnswer *answer = find(attempt);
+    const BufferedAnswer *answer = find(attempt);
     if (answer == nullptr) {
         return withUnknownOutcome(makeFailure(FailureCode::AnswerGone, "the answer is not kept any more"));
     }
@@ -95,13 +96,13 @@
 void AnswerBuffer::expire()
 {
     while (!m_finished.empty() && m_timers.now() - m_finished.front().at >= m_settings.retention) {
-        dropOldest();
+        evictOldest();
     }
 }
 
-std::vector<AttemptId> AnswerBuffer::takeDropped()
+std::vector<AttemptId> AnswerBuffer::takeEvicted()
 {
-    return std::exchange(m_dropped, {});
+    return std::exchange(m_evicted, {});
 }
 
 bool AnswerBuffer::hasUnfetchedSince(Duration span) const
@@ -117,21 +118,21 @@
     return m_totalBytes;
 }
 
-void AnswerBuffer::makeRoom()
+void AnswerBuffer::evictToFit()
 {
     while (m_totalBytes > m_settings.maximumBytes && !m_finished.empty()) {
-        dropOldest();
+        evictOldest();
     }
 }
 
-void AnswerBuffer::dropOldest()
+void AnswerBuffer::evictOldest()
 {
     const AttemptId attempt = std::move(m_finished.front().attempt);
     m_finished.pop_front();
     const auto it = m_answers.find(attempt);
     m_totalBytes -= it->second.bytes.size();
     m_answers.erase(it);
-    m_dropped.push_back(attempt);
+    m_evicted.push_back(attempt);
 }
 
 }
--- a/src/libradishswitch/requests/chatmeter.cpp
+++ b/src/libradishswitch/requests/chatmeter.cpp
@@ -14,14 +14,15 @@
 
 using Json = nlohmann::json;
 
-constexpr std::string_view kDoneMark = "[DONE]";
+constexpr std::string_view kDoneMarker = "[DONE]";
 constexpr std::string_view kUsageKey = "\"usage\"";
-/// More than any engine counts; sums of two such stay far from overflow.
+/// Larger than any count that an engine reports, and small enough that the sum of two such counts cannot overflow.
 constexpr std::int64_t kMaximumTokens = 1'000'000'000'000;
 constexpr std::string_view kErrorStart = "{\"error\"";
 
-// A token's chunk carries no usage, or a null one; parsing each would cost more than all else that is done with it.
-bool mayTellMore(std::string_view chunk)
+// Whether a chunk may hold a usage or an error. Most chunks hold one token and no usage, or a null usage; parsing their
+// JSON would cost more than all other work on the chunk.
+bool needsParsing(std::string_view chunk)
 {
     if (chunk.starts_with(kErrorStart)) {
         return true;
@@ -53,7 +54,7 @@
 {
     const Json document = Json::parse(json, nullptr, false);
     if (!document.is_object()) {
-        return makeFailure(FailureCode::MalformedMessage, "the completion is no JSON object");
+        return makeFailure(FailureCode::MalformedMessage, "the completion is not a JSON object");
     }
     const auto error = document.find("error");
     if (error != document.end() && !error->is_null()) {
@@ -64,12 +65,12 @@
         return std::nullopt;
     }
     if (!usage->is_object()) {
-        return makeFailure(FailureCode::MalformedMessage, "the usage is no JSON object");
+        return makeFailure(FailureCode::MalformedMessage, "the usage is not a JSON object");
     }
     const std::optional<std::int64_t> promptTokens = tokensIn(*usage, "prompt_tokens");
     const std::optional<std::int64_t> completionTokens = tokensIn(*usage, "completion_tokens");
     if (!promptTokens || !completionTokens) {
-        return makeFailure(FailureCode::MalformedMessage, "the usage holds no token counts");
+        return makeFailure(FailureCode::MalformedMessage, "the usage has invalid token counts");
     }
     return ChatUsage{*promptTokens, *completionTokens};
 }
@@ -79,18 +80,18 @@
     std::vector<SseEvent> events;
     absl::Status status = m_scanner.scan(bytes, events);
     for (const SseEvent &event : events) {
-        status.Update(takeEvent(event));
+        status.Update(handleEvent(event));
     }
     return status;
 }
 
-absl::Status ChatMeter::takeEvent(const SseEvent &event)
+absl::Status ChatMeter::handleEvent(const SseEvent &event)
 {
-    if (event.data == kDoneMark) {
+    if (event.data == kDoneMarker) {
         m_isComplete = true;
         return absl::OkStatus();
     }
-    if (!mayTellMore(event.data)) {
+    if (!needsParsing(event.data)) {
         return absl::OkStatus();
     }
     const absl::StatusOr<std::optional<ChatUsage>> usage = parseChatUsage(event.data);
--- a/src/libradishswitch/requests/chatmeter.h
+++ b/src/libradishswitch/requests/chatmeter.h
@@ -12,7 +12,7 @@
 namespace RadishSwitch
 {
 
-/// Tokens of one chat completion, as the engine counted them.
+/// Token counts of one chat completion, as reported by the inference engine.
 struct ChatUsage {
     std::int64_t promptTokens = 0;
     std::int64_t completionTokens = 0;
@@ -20,27 +20,27 @@
     bool operator==(const ChatUsage &) const = default;
 };
 
-/// Reads the usage from the JSON body of a whole completion or from one chunk of a streamed one. Nothing when it names
-/// none; MalformedMessage when it is no JSON object or the numbers are none; EndpointFailed when it is an error that
-/// the engine reports.
+/// Reads the token usage from JSON: the body of a complete completion, or one chunk of a streamed completion. Returns
+/// nothing when the JSON has no usage. Errors: MalformedMessage when it is not a JSON object or a token count is
+/// invalid; EndpointFailed when the engine reports an error in it.
 absl::StatusOr<std::optional<ChatUsage>> parseChatUsage(std::string_view json);
 
-/// Follows a streamed completion and tells at its end whether it is whole and what it used.
+/// Reads a streamed completion and reports at its end whether it is complete and how many tokens it used.
 class ChatMeter
 {
 public:
-    /// Takes the next bytes of the body. The errors of the scanner and of `parseChatUsage`.
+    /// Takes the next bytes of the body. Errors: those of SseScanner::scan and of parseChatUsage.
     absl::Status append(std::string_view bytes);
 
-    /// Whether "[DONE]" has come.
+    /// Whether the end marker "[DONE]" has been received.
     bool isComplete() const;
 
-    /// The usage at the end of the stream, if the engine told it. EndpointFailed when the stream ended without
-    /// "[DONE]".
+    /// The usage after the end of the stream, or nothing when the engine sent none. EndpointFailed when the stream
+    /// ended without "[DONE]".
     absl::StatusOr<std::optional<ChatUsage>> finish();
 
 private:
-    absl::Status takeEvent(const SseEvent &event);
+    absl::Status handleEvent(const SseEvent &event);
 
     SseScanner m_scanner;
     std::optional<ChatUsage> m_usage;
--- a/src/libradishswitch/requests/chatrequest.cpp
+++ b/src/libradishswitch/requests/chatrequest.cpp
@@ -15,14 +15,14 @@
 constexpr std::int64_t kTokensPerMessage = 8;
 constexpr std::int64_t kTokensPerRequest = 16;
 constexpr std::int64_t kLargestMaximumTokens = 1 << 20;
-constexpr std::size_t kMostMessages = 4096;
+constexpr std::size_t kMaximumMessages = 4096;
 
 absl::Status invalid(const std::string &message)
 {
     return makeFailure(FailureCode::InvalidRequest, message);
 }
 
-// A message's content is a string, or a list of parts of which the text ones count.
+// The text of a message. Its content is a string, or a list of parts that must all be of type "text".
 absl::StatusOr<std::string> textOf(const Json &message)
 {
     const auto it = message.find("content");
@@ -95,7 +95,7 @@
         return invalid("model must be a non-empty string");
     }
     const auto messages = json.find("messages");
-    if (messages == json.end() || !messages->is_array() || messages->empty() || messages->size() > kMostMessages) {
+    if (messages == json.end() || !messages->is_array() || messages->empty() || messages->size() > kMaximumMessages) {
         return invalid("messages must be a list of 1 to 4096 messages");
     }
     const absl::StatusOr<bool> isStreamed = flagOf(json, "stream");
--- a/src/libradishswitch/requests/chatrequest.h
+++ b/src/libradishswitch/requests/chatrequest.h
@@ -10,42 +10,44 @@
 namespace RadishSwitch
 {
 
-/// A checked chat completion request of the OpenAI-compatible API.
+/// A validated chat completion request of the OpenAI-compatible API.
 class ChatRequest
 {
 public:
-    /// The answer's bound in tokens when the caller gives none.
+    /// The limit of an answer, in tokens, when the caller gives none.
     static constexpr std::int64_t kDefaultMaximumTokens = 1024;
 
-    /// Reads a body. InvalidRequest names the field that is wrong and what would be right.
+    /// Parses and validates a request body. The message of InvalidRequest names the invalid field and the values that
+    /// are allowed.
     static absl::StatusOr<ChatRequest> parse(std::string_view body);
 
     const std::string &model() const;
 
-    /// Whether the caller asked for a stream; the engine always is.
+    /// Whether the caller asked for a stream. The engine is always asked for a stream; see engineBody().
     bool isStreamed() const;
 
-    /// Whether the caller itself asked for the usage at a stream's end.
+    /// Whether the caller asked for the token usage at the end of the stream.
     bool wantsUsage() const;
 
     std::int64_t maximumTokens() const;
 
-    /// A number of tokens that the prompt can't exceed: no tokenizer makes more tokens than there are bytes, and each
-    /// message adds a few of its own.
+    /// An upper bound for the number of prompt tokens. A tokenizer makes no more tokens than the text has bytes, and
+    /// each message adds a few tokens of its own.
     std::int64_t promptTokensBound() const;
 
-    /// The most that the request can be billed; reserved before it runs.
+    /// The most tokens that the request can be billed. They are reserved before the request runs.
     std::int64_t worstCaseTokens() const;
 
-    /// All message texts in order, for the hashes of prompt prefixes.
+    /// The texts of all messages in order, from which the hashes of prompt prefixes are computed.
     const std::string &promptText() const;
 
-    /// The body for the engine: the bound on the answer filled in, and always a stream with the usage at its end. An
-    /// engine that has fallen silent shows in a stream within seconds, in a whole answer only at the deadline; the bill
-    /// is made from the usage.
+    /// The body for the engine. It sets the limit of the answer and always asks for a stream that ends with the usage.
+    /// With a stream, an engine that has stopped sending is noticed within seconds; with a complete answer it would be
+    /// noticed only at the deadline. The usage is needed for billing.
     std::string engineBody() const;
 
-    /// The body that continues an answer of which `delivered` has reached the caller in `deliveredTokens` tokens.
+    /// The body that asks the engine to continue an answer of which the caller has already received `delivered`, which
+    /// is `deliveredTokens` tokens long.
     std::string continuationBody(const std::string &delivered, std::int64_t deliveredTokens) const;
 
     bool operator==(const ChatRequest &) const = default;
--- a/src/libradishswitch/requests/ssescanner.cpp
+++ b/src/libradishswitch/requests/ssescanner.cpp
@@ -26,10 +26,10 @@
         return m_failure;
     }
     if (bytes.find('\0') != std::string_view::npos) {
-        return fail(makeFailure(FailureCode::MalformedMessage, "the event stream holds a zero byte"));
+        return fail(makeFailure(FailureCode::MalformedMessage, "the event stream contains a zero byte"));
     }
     while (!bytes.empty()) {
-        // The line feed of a CRLF that was split over two reads ends no second line.
+        // When a CRLF is split between two calls, its line feed does not end a second line.
         if (std::exchange(m_endedWithCarriageReturn, false) && bytes.front() == '\n') {
             bytes.remove_prefix(1);
             continue;
@@ -45,7 +45,7 @@
         }
         m_endedWithCarriageReturn = bytes[n] == '\r';
         bytes.remove_prefix(n + 1);
-        takeLine(events);
+        handleLine(events);
     }
     return absl::OkStatus();
 }
@@ -61,26 +61,26 @@
     return absl::OkStatus();
 }
 
-void SseScanner::takeLine(std::vector<SseEvent> &events)
+void SseScanner::handleLine(std::vector<SseEvent> &events)
 {
     std::string_view line = m_line;
     if (std::exchange(m_isFirstLine, false) && line.starts_with(kByteOrderMark)) {
         line.remove_prefix(kByteOrderMark.size());
     }
     if (line.empty()) {
-        endEvent(events);
+        finishEvent(events);
     } else {
         const std::size_t n = line.find(':');
         std::string_view value = n == std::string_view::npos ? std::string_view() : line.substr(n + 1);
         if (value.starts_with(' ')) {
             value.remove_prefix(1);
         }
-        takeField(line.substr(0, n), value);
+        handleField(line.substr(0, n), value);
     }
     m_line.clear();
 }
 
-void SseScanner::takeField(std::string_view field, std::string_view value)
+void SseScanner::handleField(std::string_view field, std::string_view value)
 {
     if (field == "event") {
         m_event.type = value;
@@ -92,7 +92,7 @@
     }
 }
 
-void SseScanner::endEvent(std::vector<SseEvent> &events)
+void SseScanner::finishEvent(std::vector<SseEvent> &events)
 {
     SseEvent event = std::exchange(m_event, {});
     if (std::exchange(m_hasData, false)) {
--- a/src/libradishswitch/requests/ssescanner.h
+++ b/src/libradishswitch/requests/ssescanner.h
@@ -19,10 +19,10 @@
     bool operator==(const SseEvent &) const = default;
 };
 
-/// Finds the events in a stream of server-sent events whose bytes come split in any way.
+/// Finds the events in a stream of server-sent events whose bytes may be split at any point.
 ///
-/// Lines end with LF, CR or CRLF; comments and unknown fields are skipped, as is a byte order mark. After an error the
-/// scanner stays failed.
+/// Lines end with LF, CR or CRLF. Comments, unknown fields and a byte order mark are skipped. After an error every
+/// further call fails with the same error.
 class SseScanner
 {
 public:
@@ -30,17 +30,17 @@
 
     explicit SseScanner(std::size_t maximumEventBytes = kMaximumEventBytes);
 
-    /// Takes the next bytes and adds the events that they complete to `events`. MessageTooLarge when one event is
-    /// larger than allowed; MalformedMessage when a byte cannot be text.
+    /// Takes the next bytes and appends the events that they complete to `events`. MessageTooLarge when one event is
+    /// larger than allowed; MalformedMessage when the stream contains a zero byte, which is not valid text.
     absl::Status scan(std::string_view bytes, std::vector<SseEvent> &events);
 
-    /// Tells the end of the stream. MalformedMessage when it comes in the middle of an event.
+    /// Ends the stream. MalformedMessage when it ends in the middle of an event.
     absl::Status finish();
 
 private:
-    void takeLine(std::vector<SseEvent> &events);
-    void takeField(std::string_view field, std::string_view value);
-    void endEvent(std::vector<SseEvent> &events);
+    void handleLine(std::vector<SseEvent> &events);
+    void handleField(std::string_view field, std::string_view value);
+    void finishEvent(std::vector<SseEvent> &events);
     absl::Status fail(absl::Status status);
 
     std::size_t m_maximumEventBytes;
--- a/tests/core/requests/answerbuffer_test.cpp
+++ b/tests/core/requests/answerbuffer_test.cpp
@@ -13,7 +13,7 @@
 class AnswerBufferTest : public testing::Test
 {
 protected:
-    void keep(const AttemptId &attempt, const std::string &bytes)
+    void addAnswer(const AttemptId &attempt, const std::string &bytes)
     {
         ASSERT_TRUE(m_buffer.open(attempt).ok());
         ASSERT_TRUE(m_buffer.append(attempt, bytes).ok());
@@ -27,7 +27,7 @@
 
 TEST_F(AnswerBufferTest, read_runningAnswer_givesBytesFromOffset)
 {
-    keep(m_first, "abc");
+    addAnswer(m_first, "abc");
     m_buffer.append(m_first, "def").IgnoreError();
 
     EXPECT_EQ(m_buffer.read(m_first, 2, 3).value(), "cde");
@@ -35,15 +35,15 @@
     EXPECT_EQ(failureCode(m_buffer.read(m_first, 7, 3).status()), FailureCode::InvalidRequest);
 }
 
-TEST_F(AnswerBufferTest, append_bufferFull_dropsOldestFinishedNeverRunning)
+TEST_F(AnswerBufferTest, append_bufferFull_evictsOldestFinishedNeverRunning)
 {
-    keep(m_first, "1234");
-    keep(m_second, "1234");
+    addAnswer(m_first, "1234");
+    addAnswer(m_second, "1234");
     m_buffer.finish(m_second, {});
 
-    keep(AttemptId("third"), "1234");
+    addAnswer(AttemptId("third"), "1234");
 
-    EXPECT_THAT(m_buffer.takeDropped(), ElementsAre(m_second));
+    EXPECT_THAT(m_buffer.takeEvicted(), ElementsAre(m_second));
     EXPECT_EQ(m_buffer.read(m_first, 0, 8).value(), "1234");
     const absl::Status gone = m_buffer.read(m_second, 0, 8).status();
     EXPECT_EQ(failureCode(gone), FailureCode::AnswerGone);
@@ -53,8 +53,8 @@
 
 TEST_F(AnswerBufferTest, open_runningAnswersFillBuffer_isOverloaded)
 {
-    keep(m_first, "12345");
-    keep(m_second, "12345");
+    addAnswer(m_first, "12345");
+    addAnswer(m_second, "12345");
 
     const absl::Status status = m_buffer.open(AttemptId("third"));
 
@@ -62,16 +62,16 @@
     EXPECT_TRUE(retryAfterOf(status).has_value());
 }
 
-TEST_F(AnswerBufferTest, append_answerOverItsBound_isTooLarge)
+TEST_F(AnswerBufferTest, append_answerOverItsLimit_isTooLarge)
 {
-    keep(m_first, "12345678");
+    addAnswer(m_first, "12345678");
     EXPECT_EQ(failureCode(m_buffer.append(m_first, "9")), FailureCode::MessageTooLarge);
 }
 
-TEST_F(AnswerBufferTest, expire_retentionOver_dropsFinishedOnly)
+TEST_F(AnswerBufferTest, expire_retentionOver_evictsFinishedOnly)
 {
-    keep(m_first, "1234");
-    keep(m_second, "1234");
+    addAnswer(m_first, "1234");
+    addAnswer(m_second, "1234");
     m_buffer.finish(m_first, {});
     m_timers.advance(10min - 1us);
     m_buffer.expire();
@@ -86,7 +86,7 @@
 
 TEST_F(AnswerBufferTest, append_finishedAnswer_isRefused)
 {
-    keep(m_first, "1234");
+    addAnswer(m_first, "1234");
     m_buffer.finish(m_first, {.status = absl::OkStatus(), .promptTokens = 1, .completionTokens = 2});
 
     EXPECT_EQ(failureCode(m_buffer.append(m_first, "5")), FailureCode::RunUnknown);
@@ -95,7 +95,7 @@
 
 TEST_F(AnswerBufferTest, hasUnfetchedSince_readerGotAll_isFalse)
 {
-    keep(m_first, "1234");
+    addAnswer(m_first, "1234");
     m_buffer.finish(m_first, {});
     EXPECT_TRUE(m_buffer.hasUnfetchedSince(5s));
 
--- a/tests/core/requests/chatrequest_test.cpp
+++ b/tests/core/requests/chatrequest_test.cpp
@@ -11,46 +11,48 @@
 
 constexpr char kBody[] = R"({"model":"drape-llm","messages":[{"role":"user","content":"How wide?"}],"max_tokens":5})";
 
-struct BadBody {
+struct InvalidBody {
     const char *name;
     const char *body;
-    const char *named;
+    const char *field;
 };
 
-class ChatRequestBadBodyTest : public testing::TestWithParam<BadBody>
+class ChatRequestInvalidBodyTest : public testing::TestWithParam<InvalidBody>
 {
 };
 
 }
 
-TEST_P(ChatRequestBadBodyTest, parse_badBody_namesTheFieldInATypedError)
+TEST_P(ChatRequestInvalidBodyTest, parse_invalidBody_errorNamesTheField)
 {
     const absl::StatusOr<ChatRequest> request = ChatRequest::parse(GetParam().body);
 
     ASSERT_FALSE(request.ok());
     EXPECT_EQ(failureCode(request.status()), FailureCode::InvalidRequest);
-    EXPECT_NE(std::string(request.status().message()).find(GetParam().named), std::string::npos);
+    EXPECT_NE(std::string(request.status().message()).find(GetParam().field), std::string::npos);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Door, ChatRequestBadBodyTest,
+    Bodies, ChatRequestInvalidBodyTest,
     testing::Values(
-        BadBody{"empty", "", "JSON object"}, BadBody{"truncated", R"({"model":"m","mess)", "JSON object"},
-        BadBody{"list", "[]", "JSON object"}, BadBody{"noModel", R"({"messages":[]})", "model"},
-        BadBody{"modelIsNumber", R"({"model":3})", "model"}, BadBody{"noMessages", R"({"model":"m"})", "messages"},
-        BadBody{"noRole", R"({"model":"m","messages":[{"content":"x"}]})", "role"},
-        BadBody{"messageIsText", R"({"model":"m","messages":["x"]})", "role"},
-        BadBody{"contentIsNumber", R"({"model":"m","messages":[{"role":"user","content":1}]})", "content"},
-        BadBody{"imagePart", R"({"model":"m","messages":[{"role":"u","content":[{"type":"image"}]}]})", "content[]"},
-        BadBody{"streamIsText", R"({"model":"m","stream":"yes","messages":[{"role":"u"}]})", "stream"},
-        BadBody{"zeroTokens", R"({"model":"m","max_tokens":0,"messages":[{"role":"u"}]})", "max_tokens"},
-        BadBody{"hugeTokens", R"({"model":"m","max_tokens":99999999999,"messages":[{"role":"u"}]})", "max_tokens"},
-        BadBody{"twoChoices", R"({"model":"m","n":2,"messages":[{"role":"u"}]})", "n must"}),
+        InvalidBody{"empty", "", "JSON object"}, InvalidBody{"truncated", R"({"model":"m","mess)", "JSON object"},
+        InvalidBody{"list", "[]", "JSON object"}, InvalidBody{"noModel", R"({"messages":[]})", "model"},
+        InvalidBody{"modelIsNumber", R"({"model":3})", "model"},
+        InvalidBody{"noMessages", R"({"model":"m"})", "messages"},
+        InvalidBody{"noRole", R"({"model":"m","messages":[{"content":"x"}]})", "role"},
+        InvalidBody{"messageIsText", R"({"model":"m","messages":["x"]})", "role"},
+        InvalidBody{"contentIsNumber", R"({"model":"m","messages":[{"role":"user","content":1}]})", "content"},
+        InvalidBody{"imagePart", R"({"model":"m","messages":[{"role":"u","content":[{"type":"image"}]}]})",
+                    "content[]"},
+        InvalidBody{"streamIsText", R"({"model":"m","stream":"yes","messages":[{"role":"u"}]})", "stream"},
+        InvalidBody{"zeroTokens", R"({"model":"m","max_tokens":0,"messages":[{"role":"u"}]})", "max_tokens"},
+        InvalidBody{"hugeTokens", R"({"model":"m","max_tokens":99999999999,"messages":[{"role":"u"}]})", "max_tokens"},
+        InvalidBody{"twoChoices", R"({"model":"m","n":2,"messages":[{"role":"u"}]})", "n must"}),
     [](const auto &info) {
         return info.param.name;
     });
 
-TEST(ChatRequestTest, parse_wholeBody_boundsThePromptByItsBytes)
+TEST(ChatRequestTest, parse_validBody_boundsPromptByItsBytes)
 {
     const absl::StatusOr<ChatRequest> request = ChatRequest::parse(kBody);
 
@@ -59,8 +61,8 @@
     EXPECT_EQ(request->worstCaseTokens(), request->promptTokensBound() + 5);
 }
 
-// A whole answer sends no byte before its end, so an engine that fell silent would show only at the deadline.
-TEST(ChatRequestTest, engineBody_callerAsksForNoStream_asksForAStreamWithUsage)
+// A complete answer sends no byte before its end, so an engine that has stopped would be noticed only at the deadline.
+TEST(ChatRequestTest, engineBody_callerAsksForNoStream_asksForStreamWithUsage)
 {
     const absl::StatusOr<ChatRequest> request = ChatRequest::parse(kBody);
     EXPECT_FALSE(request->isStreamed());
@@ -71,7 +73,7 @@
     }
 }
 
-TEST(ChatRequestTest, continuationBody_partDelivered_asksForTheRestOnly)
+TEST(ChatRequestTest, continuationBody_partDelivered_asksForRestOnly)
 {
     const absl::StatusOr<ChatRequest> request = ChatRequest::parse(kBody);
 
--- a/tests/core/requests/ssescanner_test.cpp
+++ b/tests/core/requests/ssescanner_test.cpp
@@ -11,7 +11,7 @@
     std::string name;
     std::string bytes;
     std::vector<SseEvent> events;
-    /// OK when nothing is set.
+    /// Not set when the scan succeeds.
     std::optional<FailureCode> failure;
 };
 
@@ -33,7 +33,7 @@
     }
 };
 
-TEST_P(SseScannerTest, scan_bytesSplitInAnyWay_givesSameEventsOrTypedError)
+TEST_P(SseScannerTest, scan_bytesSplitAtAnyPoint_givesSameEventsOrError)
 {
     const SseCase &given = GetParam();
     for (std::size_t size = 1; size <= given.bytes.size() + 1; ++size) {
@@ -87,7 +87,7 @@
 {
 };
 
-TEST_P(ChatMeterTest, finish_streamOfEngine_givesUsageOrTypedError)
+TEST_P(ChatMeterTest, finish_streamOfEngine_givesUsageOrError)
 {
     ChatMeter meter;
     absl::Status status = meter.append(GetParam().bytes);
