--- a/src/libradishswitch/requests/fencegate.cpp
+++ b/src/libradishswitch/requests/fencegate.cpp
@@ -19,7 +19,7 @@
         return makeFailure(FailureCode::InvalidRequest, "the endpoint belongs to another pool");
     }
     if (incarnation != m_incarnation) {
-        return makeFailure(FailureCode::StaleFence, "the order is meant for another life of the agent");
+        return makeFailure(FailureCode::StaleFence, "the order is for another incarnation of the agent");
     }
     if (fence < m_highestFence) {
         return makeFailure(FailureCode::StaleFence, "a later holder has given orders");
--- a/src/libradishswitch/requests/fencegate.h
+++ b/src/libradishswitch/requests/fencegate.h
@@ -9,17 +9,19 @@
 namespace RadishSwitch
 {
 
-/// Lets only the latest holder of a pool give orders, for engines that ignore fencing numbers.
+/// Admits orders only from the latest lease holder of a pool, on behalf of engines that ignore fencing tokens.
 ///
-/// A holder that was paused while its lease lapsed wakes and gives the order that it had in mind. The new holder's
-/// orders have come with a higher number by then, so the old one is refused. What the gate has seen dies with the
-/// process; so an order names the agent's life as well, and a holder of old does not know the new one's.
+/// A holder that was paused while its lease expired resumes and sends an order that it had prepared before. The new
+/// holder has sent orders with a higher fencing token by then, so the gate refuses the old order. The gate loses its
+/// state when the agent's process ends. Therefore each order also names the agent's incarnation, and a former holder
+/// does not know the incarnation of a restarted agent.
 class FenceGate
 {
 public:
     FenceGate(PoolId pool, IncarnationId incarnation);
 
-    /// InvalidRequest for another pool, StaleFence for another life or a number lower than one admitted before.
+    /// InvalidRequest for an order to another pool. StaleFence for an order to another incarnation of the agent, or for
+    /// a fencing token lower than one that was admitted before.
     absl::Status admit(const PoolId &pool, const IncarnationId &incarnation, std::uint64_t fence);
 
 private:
--- a/src/libradishswitch/requests/finishedruns.cpp
+++ b/src/libradishswitch/requests/finishedruns.cpp
@@ -17,14 +17,14 @@
 void FinishedRuns::remember(const RunRecord &record)
 {
     rotateIfDue();
-    m_young[nameHash(record.request)].push_back(
+    m_current[nameHash(record.request)].push_back(
         {nameHash(record.attempt), record.chargedTokens, record.state, record.isNonIdempotent});
 }
 
 std::optional<RunRecord> FinishedRuns::find(const RequestId &request, const AttemptId &attempt) const
 {
     const std::uint64_t attemptHash = nameHash(attempt);
-    for (const Generation *generation : {&m_young, &m_old}) {
+    for (const Generation *generation : {&m_current, &m_previous}) {
         const auto it = generation->find(nameHash(request));
         if (it == generation->end()) {
             continue;
@@ -40,7 +40,7 @@
 
 std::optional<RunRecord> FinishedRuns::findStarted(const RequestId &request) const
 {
-    for (const Generation *generation : {&m_young, &m_old}) {
+    for (const Generation *generation : {&m_current, &m_previous}) {
         const auto it = generation->find(nameHash(request));
         if (it == generation->end()) {
             continue;
@@ -56,16 +56,16 @@
 
 std::size_t FinishedRuns::size() const
 {
-    return m_young.size() + m_old.size();
+    return m_current.size() + m_previous.size();
 }
 
 void FinishedRuns::rotateIfDue()
 {
     const bool isOld = m_timers.now() - m_rotatedAt >= m_settings.retention;
-    if (!isOld && m_young.size() < m_settings.maximumRunsPerGeneration) {
+    if (!isOld && m_current.size() < m_settings.maximumRunsPerGeneration) {
         return;
     }
-    m_old = std::exchange(m_young, {});
+    m_previous = std::exchange(m_current, {});
     m_rotatedAt = m_timers.now();
 }
 
--- a/src/libradishswitch/requests/finishedruns.h
+++ b/src/libradishswitch/requests/finishedruns.h
@@ -12,20 +12,20 @@
 namespace RadishSwitch
 {
 
-/// How much an agent remembers of runs whose full records it has dropped.
+/// Limits on what an agent remembers of runs whose full records it has dropped.
 struct FinishedRunsSettings {
-    /// A run is remembered for at least this long and at most twice as long.
+    /// A run is remembered for at least this time and at most twice this time.
     Duration retention = std::chrono::hours(24);
-    /// A full generation is closed early, so that a flood of requests cannot take the memory.
+    /// A generation that reaches this size is closed early, so that a flood of requests cannot exhaust the memory.
     std::size_t maximumRunsPerGeneration = 500'000;
 };
 
-/// The short memory of runs that ended long ago: some 60 bytes a run, in two generations.
+/// Compact records of runs that ended long ago: about 60 bytes for each run, in two generations.
 ///
-/// An entry that was cut off for an hour still asks what became of its attempt. If the agent had forgotten it, it would
-/// take the attempt as never seen, bar it and answer "never started"; the entry would then free a reservation that was
-/// spent. A day covers the partitions for which the fleet is made; names are kept as 64-bit hashes, and a chance
-/// collision errs to the safe side, since it makes a run known that was not.
+/// An entry that was partitioned from the agent for an hour still asks what became of its attempt. If the agent had
+/// forgotten the attempt, it would treat it as never seen, bar it and answer "never started", and the entry would
+/// release a reservation whose tokens were spent. A retention of a day covers the partitions that the fleet must
+/// tolerate. Ids are stored as 64-bit hashes. A hash collision is safe: it makes a run known that was not.
 class FinishedRuns
 {
 public:
@@ -33,11 +33,11 @@
 
     void remember(const RunRecord &record);
 
-    /// What became of this attempt. The record has no portion and no answer.
+    /// The record of this attempt, if it is remembered. It has no portion and no answer.
     std::optional<RunRecord> find(const RequestId &request, const AttemptId &attempt) const;
 
-    /// The run of this request that a new attempt must not repeat: one that is done, or a non-idempotent one that
-    /// started. Its attempt id is not known any more and left empty.
+    /// The run of this request that a new attempt must not repeat: a run that is done, or a non-idempotent run that
+    /// started. Its attempt id is not stored, so the record's attempt is empty.
     std::optional<RunRecord> findStarted(const RequestId &request) const;
 
     std::size_t size() const;
@@ -56,8 +56,8 @@
 
     const TimerService &m_timers;
     FinishedRunsSettings m_settings;
-    Generation m_young;
-    Generation m_old;
+    Generation m_current;
+    Generation m_previous;
     Instant m_rotatedAt;
 };
 
--- a/src/libradishswitch/requests/ordergate.cpp
+++ b/src/libradishswitch/requests/ordergate.cpp
@@ -16,10 +16,10 @@
 absl::Status OrderGate::admit(const EndpointOrder &order)
 {
     if (!m_fence) {
-        return makeFailure(FailureCode::StaleFence, "the present holder is not known yet");
+        return makeFailure(FailureCode::StaleFence, "the current lease holder is not known yet");
     }
     if (order.fence < *m_fence || (order.fence == *m_fence && order.number <= m_number)) {
-        return makeFailure(FailureCode::StaleFence, "a later order was let through");
+        return makeFailure(FailureCode::StaleFence, "a later order has already been admitted");
     }
     setFence(order.fence);
     m_number = order.number;
--- a/src/libradishswitch/requests/ordergate.h
+++ b/src/libradishswitch/requests/ordergate.h
@@ -10,19 +10,20 @@
 namespace RadishSwitch
 {
 
-/// Stands before an endpoint's engine at its agent and lets orders take effect in one order only.
+/// Checks orders to an endpoint's engine at its agent, and lets them take effect in their order only.
 ///
-/// A holder that was paused sends an order for which its lease has long lapsed, after a rival has ordered something
-/// else. Some engines ignore fencing numbers and would go back to the old state; so the agent checks for them.
+/// A lease holder that was paused sends an order long after its lease expired, when another holder has ordered
+/// something else. Some engines ignore fencing tokens and would return to the old state, so the agent checks the tokens
+/// for them.
 class OrderGate
 {
 public:
-    /// Tells the lease's present fencing number, as read from the store. Until then no order is let through: an agent
-    /// that has just started does not know which orders are late.
+    /// Sets the current fencing token of the lease, as read from the store. Until it is set no order is admitted,
+    /// because an agent that has just started cannot know which orders are outdated.
     void setFence(std::uint64_t fence);
 
-    /// Fails with StaleFence for an order of an earlier holder, or one that is not the holder's latest; the order must
-    /// not reach the engine then.
+    /// StaleFence for an order of an earlier holder, and for an order that is not newer than the last admitted order of
+    /// the same holder. Such an order must not be sent to the engine.
     absl::Status admit(const EndpointOrder &order);
 
 private:
--- a/src/libradishswitch/requests/runtable.cpp
+++ b/src/libradishswitch/requests/runtable.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// Whether a new attempt at the same request must get this run's answer in place of a run of its own.
-bool standsForNewAttempt(const RunRecord &record, bool isNonIdempotent)
+/// Whether a new attempt of the same request must receive this run's answer instead of starting a run of its own.
+bool mustAttachTo(const RunRecord &record, bool isNonIdempotent)
 {
     switch (record.state) {
     case RunState::Running:
@@ -64,32 +64,34 @@
 absl::StatusOr<RunDecision> RunTable::start(const RunStart &start)
 {
     if (m_barredAttempts.contains(nameHash(start.attempt))) {
-        return makeFailure(FailureCode::AttemptBarred, "the attempt was barred here before it came");
+        return makeFailure(FailureCode::AttemptBarred, "the attempt was barred at this agent before it arrived");
     }
-    const RunRecord seen = find(start.request, start.attempt);
-    if (seen.state == RunState::Unknown) {
-        return startUnseen(start);
+    const RunRecord existing = find(start.request, start.attempt);
+    if (existing.state == RunState::Unknown) {
+        return startNew(start);
     }
-    if (hasOtherBody(seen, start)) {
-        return makeFailure(FailureCode::KeyReusedForOtherBody, "the attempt id stands for another body");
+    if (hasOtherBody(existing, start)) {
+        return makeFailure(FailureCode::KeyReusedForOtherBody, "the attempt id was used for another request body");
     }
-    return RunDecision{RunDecision::Action::AttachToRunning, seen};
+    return RunDecision{RunDecision::Action::AttachToRunning, existing};
 }
 
-absl::StatusOr<RunDecision> RunTable::startUnseen(const RunStart &start)
+absl::StatusOr<RunDecision> RunTable::startNew(const RunStart &start)
 {
     for (const RunRecord *other : recordsOf(start.request)) {
         if (other->state != RunState::Barred && hasOtherBody(*other, start)) {
-            return refuse(start, makeFailure(FailureCode::KeyReusedForOtherBody, "the key stands for another body"));
+            return refuse(start,
+                          makeFailure(FailureCode::KeyReusedForOtherBody,
+                                      "the idempotency key was used for another request body"));
         }
     }
-    // Comes before the questions of leaving, epoch and portion: attaching starts nothing.
+    // This check precedes the checks of leaving, epoch and portion, because attaching to a run starts nothing.
     const RunRecord earlier = findAttachable(start.request);
-    if (standsForNewAttempt(earlier, start.isNonIdempotent)) {
+    if (mustAttachTo(earlier, start.isNonIdempotent)) {
         addBarred(start.request, start.attempt);
         return RunDecision{RunDecision::Action::AttachToRunning, earlier};
     }
-    absl::Status refusal = whyNotNow(start);
+    absl::Status refusal = checkMayStart(start);
     if (!refusal.ok()) {
         return refuse(start, std::move(refusal));
     }
@@ -103,14 +105,14 @@
     return RunDecision{RunDecision::Action::Start, record};
 }
 
-absl::Status RunTable::whyNotNow(const RunStart &start) const
+absl::Status RunTable::checkMayStart(const RunStart &start) const
 {
     if (m_isLeaving) {
         return makeFailure(FailureCode::EndpointLeaving, "the endpoint is leaving");
     }
     const auto it = m_lowestEpochOfShard.find(start.shard);
     if (start.epoch > 0 && it != m_lowestEpochOfShard.end() && start.epoch < it->second) {
-        return makeFailure(FailureCode::StaleEpoch, "a later owner of the shard has asked for its runs");
+        return makeFailure(FailureCode::StaleEpoch, "a later owner of the key shard has collected its runs");
     }
     if (!start.portion.isEmpty() && m_closedPortions.contains(nameHash(start.portion))) {
         return makeFailure(FailureCode::PortionClosed, "the portion was closed");
@@ -126,9 +128,9 @@
 
 RunRecord RunTable::bar(const RequestId &request, const AttemptId &attempt)
 {
-    const RunRecord seen = find(request, attempt);
-    if (seen.state != RunState::Unknown) {
-        return seen;
+    const RunRecord existing = find(request, attempt);
+    if (existing.state != RunState::Unknown) {
+        return existing;
     }
     addBarred(request, attempt);
     return find(request, attempt);
@@ -194,31 +196,31 @@
 std::vector<PortionCharges> RunTable::closePortions(const std::vector<PortionId> &portions)
 {
     std::vector<PortionCharges> answers;
-    absl::flat_hash_map<PortionId, std::size_t> places;
+    absl::flat_hash_map<PortionId, std::size_t> indexOfPortion;
     for (const PortionId &portion : portions) {
-        if (!places.emplace(portion, answers.size()).second) {
+        if (!indexOfPortion.emplace(portion, answers.size()).second) {
             continue;
         }
         m_closedPortions.insert(nameHash(portion));
-        const auto book = m_portions.find(portion);
+        const auto totals = m_portions.find(portion);
         PortionCharges &answer = answers.emplace_back();
         answer.portion = portion;
         answer.completeFor = m_timers.now() - m_chargesCompleteSince;
-        if (book != m_portions.end()) {
-            answer.foldedTokens = book->second.foldedTokens;
-            answer.provisionalTokens = book->second.provisionalTokens;
+        if (totals != m_portions.end()) {
+            answer.foldedTokens = totals->second.foldedTokens;
+            answer.provisionalTokens = totals->second.provisionalTokens;
         }
     }
-    for (const KeptCharge &kept : m_charges) {
-        const auto it = places.find(kept.portion);
-        if (it != places.end()) {
-            answers[it->second].charges.push_back(kept.charge);
+    for (const RecentCharge &recent : m_charges) {
+        const auto it = indexOfPortion.find(recent.portion);
+        if (it != indexOfPortion.end()) {
+            answers[it->second].charges.push_back(recent.charge);
         }
     }
     for (const AttemptId &attempt : m_running) {
         const RunRecord &record = m_runs.at(attempt);
-        const auto it = places.find(record.portion);
-        if (it != places.end()) {
+        const auto it = indexOfPortion.find(record.portion);
+        if (it != indexOfPortion.end()) {
             answers[it->second].running.push_back(record);
         }
     }
@@ -351,10 +353,10 @@
     if (record.chargedTokens <= 0) {
         return;
     }
-    PortionBook &book = m_portions[record.portion];
-    book.chargedAt = m_timers.now();
+    PortionTotals &totals = m_portions[record.portion];
+    totals.chargedAt = m_timers.now();
     if (record.isProvisional) {
-        book.provisionalTokens += record.chargedTokens;
+        totals.provisionalTokens += record.chargedTokens;
         return;
     }
     m_charges.push_back({m_timers.now(), record.portion, {record.request, record.chargedTokens}});
@@ -365,7 +367,7 @@
 
 void RunTable::foldOldestCharge()
 {
-    const KeptCharge &oldest = m_charges.front();
+    const RecentCharge &oldest = m_charges.front();
     m_portions[oldest.portion].foldedTokens += oldest.charge.tokens;
     m_charges.pop_front();
 }
@@ -404,13 +406,13 @@
     }
 }
 
-// Portions with charges kept one by one were charged lately and so come last in this order; if even they must go, their
-// single charges stay and only the folded part is lost, which the moved bound of completeness tells.
+// Portions with separate charges were charged recently and come last in this order. If even such a portion is dropped,
+// its separate charges are kept and only its folded total is lost; the later `m_chargesCompleteSince` reports the loss.
 void RunTable::dropOldestPortions()
 {
     std::vector<std::pair<Instant, PortionId>> byAge;
-    for (const auto &[portion, book] : m_portions) {
-        byAge.emplace_back(book.chargedAt, portion);
+    for (const auto &[portion, totals] : m_portions) {
+        byAge.emplace_back(totals.chargedAt, portion);
     }
     const std::size_t excess = m_portions.size() - m_settings.maximumPortions * 3 / 4;
     std::ranges::nth_element(byAge, byAge.begin() + static_cast<std::ptrdiff_t>(excess - 1));
--- a/tests/core/requests/runtable_test.cpp
+++ b/tests/core/requests/runtable_test.cpp
@@ -70,8 +70,9 @@
     EXPECT_EQ(m_table.runningCount(), 1);
 }
 
-// An entry is lost after it sent its run; its home asks the agent, which has seen nothing yet, and tells the caller
-// "not run". The frame was only late: it comes after the bar. Without the bar the request would run after all.
+// An entry fails after it sent its run. Its home queries the agent, which has not seen the run yet, and tells the
+// caller "not run". The run's message was only delayed and arrives after that. Unless the attempt is barred, the
+// request runs after all.
 TEST_F(RunTableTest, start_lateCopyOfBarredAttempt_isRefusedForEver)
 {
     EXPECT_EQ(m_table.bar(RequestId("r"), AttemptId("a")).state, RunState::Barred);
@@ -83,9 +84,10 @@
     EXPECT_EQ(m_table.start(startOf("r", "b"))->action, Action::Start);
 }
 
-// The entry is cut off from the agent for hours and then asks about its attempt, whose full record is long dropped. An
-// agent that took it as never seen would bar it and answer "never started", and the entry would free spent tokens.
-TEST_F(RunTableTest, bar_attemptDoneHoursAgo_isNotTakenAsNeverSeen)
+// An entry is partitioned from the agent for hours and then asks about its attempt, whose full record has been dropped.
+// If the agent treated the attempt as never seen, it would bar it and answer "never started", and the entry would
+// release tokens that were spent.
+TEST_F(RunTableTest, bar_attemptDoneHoursAgo_stillReportsDone)
 {
     runToEnd(startOf("r", "a"), 40);
     wait(20h);
@@ -98,9 +100,9 @@
     EXPECT_EQ(m_table.findRuns({RequestId("r")}, 0, 0).front().chargedTokens, 40);
 }
 
-// A caller retries through another entry whose home knows nothing of the first try. Its attempt carries a new id, but
-// the request runs here already: a second run would double the order.
-TEST_F(RunTableTest, start_requestRunsUnderOtherAttempt_attachesAndBarsTheNewOne)
+// A caller retries through another entry whose home does not know of the first try. The new attempt has another id, but
+// the request is already running at this agent and must not run twice.
+TEST_F(RunTableTest, start_requestRunsUnderOtherAttempt_attachesAndBarsNewAttempt)
 {
     m_table.start(startOf("r", "a")).IgnoreError();
 
@@ -123,7 +125,7 @@
     EXPECT_EQ(stateOf("r", "b"), RunState::Barred);
 }
 
-TEST_F(RunTableTest, start_idempotentRequestFailedBefore_startsAgain)
+TEST_F(RunTableTest, start_idempotentFailedBefore_startsAgain)
 {
     m_table.start(startOf("r", "a")).IgnoreError();
     m_table.noteFailed(AttemptId("a"));
@@ -131,39 +133,39 @@
     EXPECT_EQ(m_table.start(startOf("r", "b"))->action, Action::Start);
 }
 
-// A blind order fails in mid-answer: it may have been taken. A retry must not run it again, neither at once nor when
-// the agent keeps only its short memory of it.
-TEST_F(RunTableTest, start_nonIdempotentRequestFailedBefore_neverStartsAgain)
+// A non-idempotent request fails in the middle of its answer and may have taken effect. A retry must not run it again,
+// neither at once nor when the agent has only a compact record of it.
+TEST_F(RunTableTest, start_nonIdempotentFailedBefore_neverStartsAgain)
 {
-    RunStart order = startOf("r", "a");
-    order.isNonIdempotent = true;
-    m_table.start(order).IgnoreError();
+    RunStart nonIdempotent = startOf("r", "a");
+    nonIdempotent.isNonIdempotent = true;
+    m_table.start(nonIdempotent).IgnoreError();
     m_table.noteFailed(AttemptId("a"));
 
-    order.attempt = AttemptId("b");
-    EXPECT_EQ(m_table.start(order)->action, Action::AttachToRunning);
+    nonIdempotent.attempt = AttemptId("b");
+    EXPECT_EQ(m_table.start(nonIdempotent)->action, Action::AttachToRunning);
     wait(11min);
-    order.attempt = AttemptId("c");
-    const auto later = m_table.start(order);
+    nonIdempotent.attempt = AttemptId("c");
+    const auto later = m_table.start(nonIdempotent);
     EXPECT_EQ(later->action, Action::AttachToRunning);
     EXPECT_EQ(later->record.state, RunState::Failed);
 }
 
-TEST_F(RunTableTest, start_nonIdempotentRequestWhoseEndpointWasNotReached_startsAgain)
+TEST_F(RunTableTest, start_nonIdempotentWhoseEndpointWasNotReached_startsAgain)
 {
-    RunStart order = startOf("r", "a");
-    order.isNonIdempotent = true;
-    m_table.start(order).IgnoreError();
+    RunStart nonIdempotent = startOf("r", "a");
+    nonIdempotent.isNonIdempotent = true;
+    m_table.start(nonIdempotent).IgnoreError();
     m_table.noteNotStarted(AttemptId("a"));
 
-    EXPECT_EQ(codeOf(m_table.start(order)), FailureCode::AttemptBarred);
-    order.attempt = AttemptId("b");
-    EXPECT_EQ(m_table.start(order)->action, Action::Start);
+    EXPECT_EQ(codeOf(m_table.start(nonIdempotent)), FailureCode::AttemptBarred);
+    nonIdempotent.attempt = AttemptId("b");
+    EXPECT_EQ(m_table.start(nonIdempotent)->action, Action::Start);
 }
 
-// A new home takes a shard over and collects its runs. A run that the old home admitted comes after the question: the
-// new home knows nothing of it, so it must not start. Work without a key has no home and is let through.
-TEST_F(RunTableTest, start_epochBelowBarrier_isRefusedUnlessZero)
+// A new home takes over a shard and collects its runs. A run that the old home granted arrives after that; the new home
+// does not know of it, so it must not start. Requests without a key belong to no home and may start.
+TEST_F(RunTableTest, start_epochBelowShardEpoch_isRefusedUnlessZero)
 {
     m_table.start(startOf("running", "a")).IgnoreError();
     EXPECT_EQ(m_table.findRuns({RequestId("running")}, 7, 4).size(), 1u);
@@ -180,9 +182,9 @@
     EXPECT_EQ(stateOf("running", "a"), RunState::Running);
 }
 
-// A holder is taken for dead and its portion is summed up at the agents. It was only paused, wakes and dispatches on
-// the portion: what it spends then would be spent twice.
-TEST_F(RunTableTest, closePortions_holderGoesOnAfterwards_itsRunsAreRefused)
+// The holder of a portion is considered dead, and its charges are collected from the agents. It was only paused,
+// resumes and sends runs on the portion. The tokens of these runs would be spent twice.
+TEST_F(RunTableTest, closePortions_holderResumes_itsRunsAreRefused)
 {
     runToEnd(startOf("r1", "a1"), 30);
     m_table.start(startOf("r2", "a2")).IgnoreError();
@@ -212,8 +214,9 @@
     EXPECT_THAT(closePortion().charges, IsEmpty());
 }
 
-// Memory is bounded: totals of portions charged long ago are forgotten. A closer that took the missing total for zero
-// would give spent tokens back; the moved bound tells it that the portion may be older than what is remembered.
+// Memory is bounded, so the totals of portions that were charged long ago are forgotten. If a missing total were read
+// as zero, spent tokens would be given back. The later `chargesCompleteSince` tells that charges to an older portion
+// may be missing.
 TEST_F(RunTableTest, chargesCompleteSince_totalForgotten_moves)
 {
     const Instant started = m_timers.now();
