--- a/benchmarks/home.cpp
+++ b/benchmarks/home.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-AdmitQuestion question(std::int64_t n, bool isKeyed)
+AdmissionQuery question(std::int64_t n, bool isKeyed)
 {
     constexpr std::int64_t kBudgets = 1000;
-    AdmitQuestion question;
+    AdmissionQuery question;
     question.request = RequestId("0123456789abcdef" + std::to_string(n));
     question.budget = {OrganisationId("organisation"), "budget-" + std::to_string(n % kBudgets)};
     question.worstCaseTokens = 1;
@@ -23,7 +23,7 @@
 }
 
 /// One request from its question to its settlement, at a home that owns its shard.
-void serve(SmallFleet &fleet, SmallEntry &entry, const AdmitQuestion &question)
+void serve(SmallFleet &fleet, SmallEntry &entry, const AdmissionQuery &question)
 {
     AttemptId attempt;
     entry.home->admit(question, [&](const absl::StatusOr<AdmitDecision> &decision) {
--- a/src/entry/homeservice.cpp
+++ b/src/entry/homeservice.cpp
@@ -62,7 +62,7 @@
     // of its own; made in place it waited for itself, and the whole entry stood still with it.
     void admit(const wire::AdmitRequest &message)
     {
-        const AdmitQuestion question = admitQuestionFromWire(message, m_timers.now());
+        const AdmissionQuery question = admitQuestionFromWire(message, m_timers.now());
         m_session->admit(
             question,
             [self = shared_from_this(), budget = question.budget](const absl::StatusOr<AdmitDecision> &decision) {
--- a/src/entry/homesession.h
+++ b/src/entry/homesession.h
@@ -23,7 +23,7 @@
     virtual ~HomeSession() = default;
 
     /// Once, first. HomeUnreachable when the home can't be asked; nothing ran then.
-    virtual void admit(const AdmitQuestion &question, AdmitCallback callback) = 0;
+    virtual void admit(const AdmissionQuery &question, AdmitCallback callback) = 0;
 
     /// The attempt is about to be sent to this life of an agent. OK when the home has it on its books; an attempt other
     /// than the grant's own must not be sent before that.
--- a/src/entry/homewire.cpp
+++ b/src/entry/homewire.cpp
@@ -8,7 +8,7 @@
 namespace RadishSwitch
 {
 
-wire::AdmitRequest admitQuestionToWire(const AdmitQuestion &question, Instant now)
+wire::AdmitRequest admitQuestionToWire(const AdmissionQuery &question, Instant now)
 {
     using std::chrono::milliseconds;
     const Duration left = std::max(question.deadline - now, Duration::zero());
@@ -25,9 +25,9 @@
     return message;
 }
 
-AdmitQuestion admitQuestionFromWire(const wire::AdmitRequest &message, Instant now)
+AdmissionQuery admitQuestionFromWire(const wire::AdmitRequest &message, Instant now)
 {
-    AdmitQuestion question;
+    AdmissionQuery question;
     question.request = RequestId(message.request_id());
     question.budget = BudgetId{OrganisationId(message.organisation()), message.budget()};
     question.worstCaseTokens = message.worst_case_tokens();
--- a/src/entry/homewire.h
+++ b/src/entry/homewire.h
@@ -7,8 +7,8 @@
 {
 
 /// A question to a home as it travels. The deadline travels as what is left of it, since clocks differ.
-wire::AdmitRequest admitQuestionToWire(const AdmitQuestion &question, Instant now);
-AdmitQuestion admitQuestionFromWire(const wire::AdmitRequest &message, Instant now);
+wire::AdmitRequest admitQuestionToWire(const AdmissionQuery &question, Instant now);
+AdmissionQuery admitQuestionFromWire(const wire::AdmitRequest &message, Instant now);
 
 /// A decision as it travels. The moment at which a portion was confirmed travels as its age; `askedAt`, before the
 /// question was sent, makes it no younger than it is.
--- a/src/entry/localhomesession.cpp
+++ b/src/entry/localhomesession.cpp
@@ -23,7 +23,7 @@
 
 // A grant that comes after its session was dropped has nobody to settle it; without the abandon here its tokens would
 // stay reserved until the portion is closed.
-void LocalHomeSession::admit(const AdmitQuestion &question, AdmitCallback callback)
+void LocalHomeSession::admit(const AdmissionQuery &question, AdmitCallback callback)
 {
     m_request = question.request;
     m_monitor.run([&] {
--- a/src/entry/localhomesession.h
+++ b/src/entry/localhomesession.h
@@ -13,7 +13,7 @@
     LocalHomeSession(Home &home, Monitor &monitor);
     ~LocalHomeSession() override;
 
-    void admit(const AdmitQuestion &question, AdmitCallback callback) override;
+    void admit(const AdmissionQuery &question, AdmitCallback callback) override;
     void noteDispatched(const AttemptId &attempt, const std::string &agentAddress, DoneCallback callback) override;
     void settle(const Settlement &settlement, DoneCallback callback) override;
 
--- a/src/entry/remotehomesession.cpp
+++ b/src/entry/remotehomesession.cpp
@@ -158,7 +158,7 @@
     }
 }
 
-void RemoteHomeSession::admit(const AdmitQuestion &question, AdmitCallback callback)
+void RemoteHomeSession::admit(const AdmissionQuery &question, AdmitCallback callback)
 {
     wire::HomeRequest message;
     *message.mutable_admit() = admitQuestionToWire(question, m_timers.now());
--- a/src/entry/remotehomesession.h
+++ b/src/entry/remotehomesession.h
@@ -21,7 +21,7 @@
     RemoteHomeSession(std::shared_ptr<MessageClient> client, TimerService &timers, OwnerObserver ownerObserver);
     ~RemoteHomeSession() override;
 
-    void admit(const AdmitQuestion &question, AdmitCallback callback) override;
+    void admit(const AdmissionQuery &question, AdmitCallback callback) override;
     void noteDispatched(const AttemptId &attempt, const std::string &agentAddress, DoneCallback callback) override;
     void settle(const Settlement &settlement, DoneCallback callback) override;
 
--- a/src/entry/requestsession.cpp
+++ b/src/entry/requestsession.cpp
@@ -118,7 +118,7 @@
 
 boost::asio::awaitable<absl::StatusOr<AdmitDecision>> RequestSession::admit()
 {
-    AdmitQuestion question;
+    AdmissionQuery question;
     question.request = m_plan.request;
     question.budget = m_plan.budget;
     question.worstCaseTokens = m_plan.worstCaseTokens;
--- a/src/libradishswitch/requests/admission.h
+++ b/src/libradishswitch/requests/admission.h
@@ -10,45 +10,48 @@
 namespace RadishSwitch
 {
 
-/// What an entry asks of a request's home before it sends the request anywhere.
-struct AdmitQuestion {
+/// What an entry asks the home of a request before it sends the request to any agent.
+struct AdmissionQuery {
     RequestId request;
     BudgetId budget;
-    /// The most that the request can cost; zero for free plain services, which reserve nothing.
+    /// The most tokens that the request can cost. Zero for plain services, which are free and reserve nothing.
     std::int64_t worstCaseTokens = 0;
-    /// Digest of what the caller asked for, so that a key used for another body is told apart from a retry.
+    /// Digest of the request body. The home compares it to tell a retry from a key that is reused for another body.
     std::string fingerprint;
-    /// Whether the caller gave an idempotency key. Without one the id is fresh and no other entry asks for it.
+    /// Whether the caller gave an idempotency key. Without a key the request id is fresh, and no other entry asks for
+    /// it.
     bool isKeyed = false;
     bool isNonIdempotent = false;
-    /// When the caller stops waiting.
+    /// The time at which the caller stops waiting.
     Instant deadline;
     PoolId pool;
 
-    bool operator==(const AdmitQuestion &) const = default;
+    bool operator==(const AdmissionQuery &) const = default;
 };
 
-/// Leave to run a request, once.
+/// The home's permission to run a request once.
 struct Grant {
-    /// The portion against which the worst case is reserved; empty when nothing was.
+    /// The budget portion on which the worst case is reserved. Empty when nothing was reserved.
     PortionId portion;
-    /// Goes into the run, so that an agent can refuse one that a deposed owner granted. Zero for unkeyed requests.
+    /// The key shard and its epoch. The entry sends them with the run, so that an agent can refuse a run that a deposed
+    /// owner granted. Zero for unkeyed requests.
     std::uint32_t shard = 0;
     std::uint64_t epoch = 0;
     std::int64_t reservedTokens = 0;
-    /// The id under which the first attempt must be made: the home can bar it at the agents when the entry dies before
-    /// it told where it sent the run. A further attempt has a fresh id and is sent only after the home has noted it.
+    /// The id under which the entry must make the first attempt. If the entry dies before it reported where it sent the
+    /// run, the home can bar this id at the agents. Each further attempt has a fresh id, and the entry sends it only
+    /// after the home has recorded it.
     AttemptId attempt;
-    /// Whether a run that an earlier owner of the key granted may still turn up, and be billed instead. Goes into the
-    /// run, so that the agent keeps its charge apart.
+    /// Whether a run that an earlier owner of the key granted may still be found and billed instead. The entry sends
+    /// this with the run, so that the agent records the charge separately.
     bool isProvisional = false;
-    /// Only agents that had started before may be sent the run; see ReservedPortion.
+    /// The run may be sent only to agents that started before this time; see ReservedPortion.
     Instant portionConfirmedAt = Instant::max();
 
     bool operator==(const Grant &) const = default;
 };
 
-/// The request runs or has run already; its answer is to be had from this agent.
+/// The request is running or has run already. The entry fetches the answer from this agent.
 struct DuplicateRun {
     std::string agentAddress;
     AttemptId attempt;
@@ -61,13 +64,13 @@
 
 /// How a granted request ended at the entry that served it.
 struct Settlement {
-    /// What the agent charged.
+    /// The number of tokens that the agent charged.
     std::int64_t chargedTokens = 0;
-    /// Whether every agent that was sent the run has proved that it did not start it and never will.
+    /// Whether every agent to which the run was sent has proved that it did not start the run and never will.
     bool isNotRun = false;
     bool isFailed = false;
-    /// The grant that this ends. A late copy of a settlement must not end a later grant of the same request; empty
-    /// matches any grant.
+    /// The attempt of the grant that this settlement ends. A settlement that is delivered twice must not end a later
+    /// grant of the same request. An empty id matches any grant.
     AttemptId grantedAttempt = {};
 
     bool operator==(const Settlement &) const = default;
--- a/src/libradishswitch/requests/admissionpipeline.cpp
+++ b/src/libradishswitch/requests/admissionpipeline.cpp
@@ -12,28 +12,29 @@
 namespace
 {
 
-bool needsClaim(const Opening &opening)
+bool needsClaim(const PendingAdmission &pending)
 {
-    return opening.admission.question.isKeyed && opening.admission.question.isNonIdempotent;
+    return pending.admission.query.isKeyed && pending.admission.query.isNonIdempotent;
 }
 
-/// What the claim of an earlier grant lets its retry be told.
-absl::Status spentClaim(const AdmitQuestion &question, const Claim &claim)
+/// The failure with which a retry is answered when the claim of an earlier grant forbids it to run.
+absl::Status refusalForClaim(const AdmissionQuery &query, const Claim &claim)
 {
-    if (claim.fingerprint != question.fingerprint) {
+    if (claim.fingerprint != query.fingerprint) {
         return withUnknownOutcome(
             makeFailure(FailureCode::KeyReusedForOtherBody, "the idempotency key was used for another request"));
     }
     if (claim.state == ClaimState::Done) {
-        return withUnknownOutcome(makeFailure(FailureCode::AnswerGone, "it ran, and its answer is no longer kept"));
+        return withUnknownOutcome(
+            makeFailure(FailureCode::AnswerGone, "the request ran, but its answer is no longer kept"));
     }
-    return withUnknownOutcome(
-        makeFailure(FailureCode::OutcomeUnknown, "an earlier try may have run and cannot be repeated"));
+    return withUnknownOutcome(makeFailure(FailureCode::OutcomeUnknown,
+                                          "an earlier try of the request may have run, so it must not run again"));
 }
 
 }
 
-AdmissionPipeline::AdmissionPipeline(ClaimBook &claims, ReservationPort &reservations,
+AdmissionPipeline::AdmissionPipeline(ClaimStore &claims, ReservationPort &reservations,
                                      std::chrono::milliseconds retryAfter, FinishedCallback finished)
     : m_claims(claims)
     , m_reservations(reservations)
@@ -42,11 +43,11 @@
 {
 }
 
-void AdmissionPipeline::start(Opening opening)
+void AdmissionPipeline::start(PendingAdmission pending)
 {
-    const RequestId request = opening.admission.question.request;
-    const bool isClaimNeeded = needsClaim(opening);
-    m_openings.insert_or_assign(request, std::move(opening));
+    const RequestId request = pending.admission.query.request;
+    const bool isClaimNeeded = needsClaim(pending);
+    m_pending.insert_or_assign(request, std::move(pending));
     if (isClaimNeeded) {
         return lookUpClaim(request);
     }
@@ -55,21 +56,21 @@
 
 void AdmissionPipeline::abandon(const RequestId &request, const AttemptId &attempt)
 {
-    const auto it = m_openings.find(request);
-    if (it != m_openings.end() && (attempt.isEmpty() || attempt == it->second.attempt)) {
+    const auto it = m_pending.find(request);
+    if (it != m_pending.end() && (attempt.isEmpty() || attempt == it->second.attempt)) {
         it->second.isAbandoned = true;
     }
 }
 
 void AdmissionPipeline::lookUpClaim(const RequestId &request)
 {
-    m_claims.find(m_openings.at(request).shard, request, m_life.guard([this, request](const auto &found) {
+    m_claims.find(m_pending.at(request).shard, request, m_life.guard([this, request](const auto &found) {
         if (!found.ok()) {
             return finish(request, withRetryAfter(found.status()));
         }
         const std::optional<Claim> &claim = *found;
         if (claim && claim->state != ClaimState::NotRun) {
-            return finish(request, spentClaim(m_openings.at(request).admission.question, *claim));
+            return finish(request, refusalForClaim(m_pending.at(request).admission.query, *claim));
         }
         reserve(request);
     }));
@@ -77,47 +78,47 @@
 
 void AdmissionPipeline::reserve(const RequestId &request)
 {
-    const Opening &opening = m_openings.at(request);
-    const AdmitQuestion &question = opening.admission.question;
-    if (opening.isAbandoned) {
+    const PendingAdmission &pending = m_pending.at(request);
+    const AdmissionQuery &query = pending.admission.query;
+    if (pending.isAbandoned) {
         return finish(request, absl::OkStatus());
     }
-    if (question.worstCaseTokens == 0) {
+    if (query.worstCaseTokens == 0) {
         return claim(request);
     }
     const auto done = [this, request](const absl::StatusOr<ReservedPortion> &reserved) {
         if (!reserved.ok()) {
             return finish(request, reserved.status());
         }
-        m_openings.at(request).reserved = *reserved;
+        m_pending.at(request).reserved = *reserved;
         claim(request);
     };
-    m_reservations.reserve(request, question.budget, question.worstCaseTokens, question.deadline, m_life.guard(done));
+    m_reservations.reserve(request, query.budget, query.worstCaseTokens, query.deadline, m_life.guard(done));
 }
 
 void AdmissionPipeline::claim(const RequestId &request)
 {
-    const Opening &opening = m_openings.at(request);
-    if (!needsClaim(opening) || opening.isAbandoned) {
+    const PendingAdmission &pending = m_pending.at(request);
+    if (!needsClaim(pending) || pending.isAbandoned) {
         return finish(request, absl::OkStatus());
     }
-    const AttemptId attempt = opening.attempt;
-    const Claim claim{request, opening.admission.question.fingerprint, attempt};
-    m_claims.claim(opening.shard, claim, m_life.guard([this, request, attempt](const auto &standing) {
-        if (!standing.ok()) {
-            return finish(request, withRetryAfter(standing.status()));
+    const AttemptId attempt = pending.attempt;
+    const Claim claim{request, pending.admission.query.fingerprint, attempt};
+    m_claims.claim(pending.shard, claim, m_life.guard([this, request, attempt](const auto &current) {
+        if (!current.ok()) {
+            return finish(request, withRetryAfter(current.status()));
         }
-        if (standing->attempt != attempt) {
-            return finish(request, spentClaim(m_openings.at(request).admission.question, *standing));
+        if (current->attempt != attempt) {
+            return finish(request, refusalForClaim(m_pending.at(request).admission.query, *current));
         }
-        m_openings.at(request).isClaimed = true;
+        m_pending.at(request).isClaimed = true;
         finish(request, absl::OkStatus());
     }));
 }
 
 void AdmissionPipeline::finish(const RequestId &request, const absl::Status &status)
 {
-    const auto node = m_openings.extract(request);
+    const auto node = m_pending.extract(request);
     m_finished(node.mapped(), status);
 }
 
--- a/src/libradishswitch/requests/admissionpipeline.h
+++ b/src/libradishswitch/requests/admissionpipeline.h
@@ -3,7 +3,7 @@
 #include "base/lifetoken.h"
 #include "budgets/reservationport.h"
 #include "requests/admissionwaiters.h"
-#include "requests/claimbook.h"
+#include "requests/claimstore.h"
 
 #include <absl/status/status.h>
 
@@ -14,40 +14,43 @@
 namespace RadishSwitch
 {
 
-/// A request on its way to a grant, with what it holds so far.
-struct Opening {
+/// A request that is being admitted, with the resources that it holds so far.
+struct PendingAdmission {
     Admission admission;
     std::uint32_t shard = 0;
     std::uint64_t epoch = 0;
     AttemptId attempt;
     ReservedPortion reserved;
     bool isClaimed = false;
-    /// Its entry went away meanwhile: nobody is left to be granted anything.
+    /// The entry that asked is gone, so there is nobody left to receive a grant.
     bool isAbandoned = false;
 };
 
-/// Takes new requests through the steps before a grant: the claim of an earlier owner is looked up, the worst case
-/// reserved, the request claimed. Only non-idempotent requests with a key have claims.
+/// Takes new requests through the steps before a grant: look up the claim of an earlier grant, reserve the worst case,
+/// claim the request. Only non-idempotent requests with a key have claims.
 ///
-/// The claim is looked up before the reservation, so that a repeated order is not told of an empty budget; it is
-/// written after it, so that refusals for lack of budget cost no write.
+/// The claim is looked up before the reservation, so that the retry of a request that has run is answered with that
+/// outcome, not with an exhausted budget. The claim is written after the reservation, so that a request that is refused
+/// for lack of budget costs no write.
 class AdmissionPipeline
 {
 public:
-    /// With OK the opening holds all it needs; otherwise the failure, and whatever it holds must be given back.
-    using FinishedCallback = std::function<void(const Opening &, const absl::Status &)>;
+    /// Called once for each request. With OK the pending admission holds all that the grant needs. Otherwise the status
+    /// is the failure, and the callee must release what the admission holds.
+    using FinishedCallback = std::function<void(const PendingAdmission &, const absl::Status &)>;
 
-    AdmissionPipeline(ClaimBook &claims, ReservationPort &reservations, std::chrono::milliseconds retryAfter,
+    AdmissionPipeline(ClaimStore &claims, ReservationPort &reservations, std::chrono::milliseconds retryAfter,
                       FinishedCallback finished);
 
-    void start(Opening opening);
+    void start(PendingAdmission pending);
 
-    /// Ends the request before its next step. `attempt` may be empty; another opening of the request is left alone.
+    /// Marks the request as abandoned; it ends before its next step. Only the admission with this attempt is abandoned,
+    /// or any when `attempt` is empty.
     void abandon(const RequestId &request, const AttemptId &attempt);
 
     std::size_t size() const
     {
-        return m_openings.size();
+        return m_pending.size();
     }
 
 private:
@@ -57,11 +60,11 @@
     void finish(const RequestId &request, const absl::Status &status);
     absl::Status withRetryAfter(const absl::Status &status) const;
 
-    ClaimBook &m_claims;
+    ClaimStore &m_claims;
     ReservationPort &m_reservations;
     const std::chrono::milliseconds m_retryAfter;
     const FinishedCallback m_finished;
-    std::map<RequestId, Opening> m_openings;
+    std::map<RequestId, PendingAdmission> m_pending;
     LifeToken m_life;
 };
 
--- a/src/libradishswitch/requests/admissionwaiters.cpp
+++ b/src/libradishswitch/requests/admissionwaiters.cpp
@@ -23,8 +23,8 @@
 
 void AdmissionWaiters::add(Admission admission, ExpiredCallback expired)
 {
-    const RequestId request = admission.question.request;
-    const Duration span = admission.question.deadline - m_timers.now();
+    const RequestId request = admission.query.request;
+    const Duration span = admission.query.deadline - m_timers.now();
     const auto timer = std::make_shared<TimerId>(0);
     *timer = m_timers.after(span, m_life.guard([this, request, timer, expired = std::move(expired)] {
         expire(request, *timer, expired);
--- a/src/libradishswitch/requests/admissionwaiters.h
+++ b/src/libradishswitch/requests/admissionwaiters.h
@@ -15,13 +15,14 @@
 
 using AdmitCallback = std::function<void(absl::StatusOr<AdmitDecision>)>;
 
-/// A question with the way to answer it.
+/// An admission query with the callback that takes its answer.
 struct Admission {
-    AdmitQuestion question;
+    AdmissionQuery query;
     AdmitCallback callback;
 };
 
-/// Questions that wait for an earlier one of the same request, each no longer than its own deadline.
+/// Admissions that wait for an earlier query of the same request to be decided. Each waits until its own deadline at
+/// most.
 class AdmissionWaiters
 {
 public:
@@ -35,7 +36,7 @@
 
     void add(Admission admission, ExpiredCallback expired);
 
-    /// Hands out all that wait for a request, in the order in which they came.
+    /// Removes and returns all admissions that wait for this request, in the order of their arrival.
     std::vector<Admission> take(const RequestId &request);
 
 private:
--- a/src/libradishswitch/requests/claim.cpp
+++ b/src/libradishswitch/requests/claim.cpp
@@ -28,7 +28,7 @@
     return kClaimed;
 }
 
-/// What this version does not know counts as claimed: the one state that never lets a request run again.
+/// A state that this version does not know is read as Claimed, the only state that never lets a request run again.
 ClaimState stateOf(const std::string &name)
 {
     if (name == kDone) {
@@ -37,7 +37,8 @@
     return name == kNotRun ? ClaimState::NotRun : ClaimState::Claimed;
 }
 
-/// A request id can hold whatever bytes a caller's key has; JSON can't.
+/// A request id contains the bytes of the caller's key, which need not be valid UTF-8 as JSON requires. So it is stored
+/// C-escaped.
 std::string unescaped(const std::string &text)
 {
     std::string value;
--- a/src/libradishswitch/requests/claim.h
+++ b/src/libradishswitch/requests/claim.h
@@ -12,27 +12,28 @@
 {
 
 enum class ClaimState {
-    /// It may run, or have run.
+    /// The request may run, or may have run.
     Claimed,
     Done,
-    /// It certainly did not run; may be claimed again.
+    /// The request has certainly not run and may be claimed again.
     NotRun,
 };
 
-/// The leave to run a non-idempotent request, as the store keeps it.
+/// The exclusive permission to run a non-idempotent request, as it is written to the object store.
 struct Claim {
     RequestId request;
     std::string fingerprint;
-    /// The grant's attempt: by it a claimer whose answer was lost finds out whether the claim is its own.
+    /// The attempt of the grant. A home that did not receive the answer to its write recognises its own claim by this
+    /// id.
     AttemptId attempt;
     ClaimState state = ClaimState::Claimed;
-    /// Milliseconds since 1970.
+    /// Time of the claim in milliseconds since 1970-01-01 UTC.
     std::int64_t wallTime = 0;
 
     bool operator==(const Claim &) const = default;
 };
 
-/// The text of an object `claims/NNNN`, and back. Errors: ObjectMalformed.
+/// Encodes and decodes the text of an object `claims/NNNN`. Error: ObjectMalformed.
 std::string encodeClaims(const std::vector<Claim> &claims);
 absl::StatusOr<std::vector<Claim>> decodeClaims(const std::string &text);
 
--- a/src/libradishswitch/requests/grantedrequests.cpp
+++ b/src/libradishswitch/requests/grantedrequests.cpp
@@ -8,7 +8,7 @@
 namespace RadishSwitch
 {
 
-GrantedRequests::GrantedRequests(RequestRegistry &registry, KeyShards &shards, ClaimBook &claims, AgentPort &agents,
+GrantedRequests::GrantedRequests(RequestRegistry &registry, KeyShards &shards, ClaimStore &claims, AgentPort &agents,
                                  ReservationPort &reservations, TimerService &timers, RandomSource &random,
                                  RunResolverSettings settings, Events events)
     : m_registry(registry)
@@ -24,24 +24,25 @@
 {
 }
 
-Grant GrantedRequests::add(const Opening &opening)
+Grant GrantedRequests::add(const PendingAdmission &pending)
 {
-    const AdmitQuestion &question = opening.admission.question;
-    KnownRequest *known = m_registry.find(question.request);
-    known->state = RequestState::Admitted;
-    known->portion = opening.reserved.portion;
-    known->epoch = opening.epoch;
+    const AdmissionQuery &query = pending.admission.query;
+    KnownRequest *known = m_registry.find(query.request);
+    known->state = RequestState::Granted;
+    known->portion = pending.reserved.portion;
+    known->epoch = pending.epoch;
     known->grantedAt = m_timers.now();
-    // A claim proves that no earlier owner had it run; without one a run may still turn up.
-    known->isProvisional = question.isKeyed && !question.isNonIdempotent && !m_shards.isComplete(opening.shard);
+    // A claim proves that no earlier owner let the request run. Without a claim, a run of an earlier owner may still be
+    // reported.
+    known->isProvisional = query.isKeyed && !query.isNonIdempotent && !m_shards.isComplete(pending.shard);
     ++m_granted;
     Grant grant;
-    grant.portion = opening.reserved.portion;
-    grant.shard = opening.shard;
-    grant.epoch = opening.epoch;
-    grant.reservedTokens = opening.reserved.tokens;
-    grant.portionConfirmedAt = opening.reserved.confirmedAt;
-    grant.attempt = opening.attempt;
+    grant.portion = pending.reserved.portion;
+    grant.shard = pending.shard;
+    grant.epoch = pending.epoch;
+    grant.reservedTokens = pending.reserved.tokens;
+    grant.portionConfirmedAt = pending.reserved.confirmedAt;
+    grant.attempt = pending.attempt;
     grant.isProvisional = known->isProvisional;
     return grant;
 }
@@ -50,8 +51,8 @@
                                      const std::string &agentAddress)
 {
     KnownRequest *known = m_registry.find(request);
-    const bool isOpen =
-        known && known->isOwn && (known->state == RequestState::Admitted || known->state == RequestState::Dispatched);
+    const bool isOpen = known && known->isGrantedHere
+        && (known->state == RequestState::Granted || known->state == RequestState::Dispatched);
     if (!isOpen) {
         return;
     }
@@ -63,7 +64,7 @@
 void GrantedRequests::settle(const RequestId &request, const Settlement &settlement)
 {
     const KnownRequest *known = m_registry.find(request);
-    if (!known || known->hasEnded() || known->state == RequestState::Opening) {
+    if (!known || known->hasEnded() || known->state == RequestState::Pending) {
         return;
     }
     const bool isOtherGrant =
@@ -80,30 +81,30 @@
 void GrantedRequests::end(const RequestId &request, RequestState state, std::int64_t chargedTokens)
 {
     const KnownRequest known = *m_registry.find(request);
-    // A run that failed may have had its effect all the same.
+    // A failed run may have had its effect nevertheless.
     if (state == RequestState::Failed && known.isNonIdempotent) {
         state = RequestState::Unknown;
     }
     m_resolvers.erase(request);
     m_registry.end(request, state, chargedTokens, m_timers.now());
-    if (known.isOwn) {
-        endOwn(request, known, state, chargedTokens);
+    if (known.isGrantedHere) {
+        endGrantedHere(request, known, state, chargedTokens);
     }
     m_events.changed(request);
 }
 
-void GrantedRequests::endOwn(const RequestId &request, const KnownRequest &known, RequestState state,
-                             std::int64_t chargedTokens)
+void GrantedRequests::endGrantedHere(const RequestId &request, const KnownRequest &known, RequestState state,
+                                     std::int64_t chargedTokens)
 {
     --m_granted;
     if (known.isKeyed && known.isNonIdempotent && state != RequestState::Unknown) {
         const ClaimState claimState = state == RequestState::NotRun ? ClaimState::NotRun : ClaimState::Done;
-        m_claims.note(known.shard, request, known.grantedAttempt, claimState);
+        m_claims.setState(known.shard, request, known.grantedAttempt, claimState);
     }
     const bool hasNoAnswer = chargedTokens == 0 && state != RequestState::Done;
-    if (const RunRecord *rival = m_billing.rivalOf(request); rival && hasNoAnswer) {
+    if (const RunRecord *conflictingRun = m_billing.rivalOf(request); conflictingRun && hasNoAnswer) {
         m_registry.forget(request);
-        m_registry.learn(*rival, known.shard, m_timers.now());
+        m_registry.addReportedRun(*conflictingRun, known.shard, m_timers.now());
     }
     bill(request, known, chargedTokens);
 }
@@ -114,7 +115,7 @@
         return;
     }
     const bool isProvisional = known.isProvisional && !m_shards.isComplete(known.shard);
-    if (isProvisional && chargedTokens > 0 && !m_shards.isHeld(known.shard)) {
+    if (isProvisional && chargedTokens > 0 && !m_shards.isAcquired(known.shard)) {
         return m_billing.withhold(request);
     }
     m_billing.settle(request, known.shard, chargedTokens, isProvisional);
@@ -123,55 +124,56 @@
 void GrantedRequests::abandon(const RequestId &request, const AttemptId &grantedAttempt)
 {
     const KnownRequest *known = m_registry.find(request);
-    if (!known || known->hasEnded() || !known->isOwn || m_resolvers.contains(request)) {
+    if (!known || known->hasEnded() || !known->isGrantedHere || m_resolvers.contains(request)) {
         return;
     }
     if (!grantedAttempt.isEmpty() && grantedAttempt != known->grantedAttempt) {
         return;
     }
-    if (known->state == RequestState::Opening) {
+    if (known->state == RequestState::Pending) {
         return;
     }
-    // Nobody can fetch the answer of an unkeyed request; a keyed one runs on for the retry.
+    // Nobody can fetch the answer of an unkeyed request, so its run is cancelled. The run of a keyed request goes on
+    // for the caller's retry.
     const bool cancel = !known->isKeyed && !known->isNonIdempotent;
-    resolve(request, possiblePlaces(*known), cancel);
+    resolve(request, possibleDispatches(*known), cancel);
 }
 
-/// Where the run may be: where it was sent, or else anywhere.
-std::vector<Dispatch> GrantedRequests::possiblePlaces(const KnownRequest &known)
+/// The agents that may have the run: those to which it was sent, or else all agents known since the grant.
+std::vector<Dispatch> GrantedRequests::possibleDispatches(const KnownRequest &known)
 {
     if (!known.dispatches.empty()) {
         return known.dispatches;
     }
     m_roster.refresh();
-    std::vector<Dispatch> places;
+    std::vector<Dispatch> dispatches;
     for (const std::string &address : m_roster.since(known.grantedAt)) {
-        places.push_back({known.grantedAttempt, address});
+        dispatches.push_back({known.grantedAttempt, address});
     }
-    return places;
+    return dispatches;
 }
 
-void GrantedRequests::resolve(const RequestId &request, std::vector<Dispatch> places, bool cancel)
+void GrantedRequests::resolve(const RequestId &request, std::vector<Dispatch> dispatches, bool cancel)
 {
-    if (places.empty()) {
+    if (dispatches.empty()) {
         return finishResolving(request, {ResolvedEnd::NotRun, 0});
     }
     RunResolver::Events events;
     events.ended = [this, request](const RunVerdict &verdict) {
         finishResolving(request, verdict);
     };
-    events.stuck = [this, request] {
-        m_events.stuck(request);
+    events.agentUnreachable = [this, request] {
+        m_events.agentUnreachable(request);
     };
-    RunResolver &resolver = *(m_resolvers[request] = makeResolver(request, std::move(places), cancel, events));
+    RunResolver &resolver = *(m_resolvers[request] = makeResolver(request, std::move(dispatches), cancel, events));
     resolver.start();
 }
 
-std::unique_ptr<RunResolver> GrantedRequests::makeResolver(const RequestId &request, std::vector<Dispatch> places,
+std::unique_ptr<RunResolver> GrantedRequests::makeResolver(const RequestId &request, std::vector<Dispatch> dispatches,
                                                            bool cancel, RunResolver::Events events)
 {
-    return std::make_unique<RunResolver>(m_agents, m_timers, m_random, request, std::move(places), cancel, m_settings,
-                                         std::move(events));
+    return std::make_unique<RunResolver>(m_agents, m_timers, m_random, request, std::move(dispatches), cancel,
+                                         m_settings, std::move(events));
 }
 
 void GrantedRequests::finishResolving(const RequestId &request, const RunVerdict &verdict)
@@ -192,14 +194,14 @@
     }
 }
 
-/// The agent is gone and took the proof along: what was reserved stays out of use, and an idempotent request may run
-/// again on a reservation of its own.
+/// The agent is gone for good, so nobody can find out whether the run used tokens. The reserved tokens are withheld,
+/// and an idempotent request may run again on a new reservation.
 void GrantedRequests::endLost(const RequestId &request)
 {
     const KnownRequest known = *m_registry.find(request);
     const RequestState state = known.isNonIdempotent ? RequestState::Unknown : RequestState::NotRun;
     m_registry.end(request, state, 0, m_timers.now());
-    if (known.isOwn) {
+    if (known.isGrantedHere) {
         --m_granted;
         if (!known.portion.isEmpty()) {
             m_billing.withhold(request);
@@ -208,30 +210,30 @@
     m_events.changed(request);
 }
 
-void GrantedRequests::learn(std::uint32_t shard, const RunRecord &record)
+void GrantedRequests::addReportedRun(std::uint32_t shard, const RunRecord &record)
 {
     if (record.state == RunState::Unknown || record.state == RunState::Barred) {
         return;
     }
     const KnownRequest *known = m_registry.find(record.request);
-    if (known && known->isOwn) {
+    if (known && known->isGrantedHere) {
         const bool isOurs = std::any_of(known->dispatches.begin(), known->dispatches.end(), [&](const auto &it) {
             return it.attempt == record.attempt;
         });
         if (!isOurs && record.attempt != known->grantedAttempt) {
-            addRival(*known, record);
+            addConflictingRun(*known, record);
         }
         return;
     }
-    m_registry.learn(record, shard, m_timers.now());
+    m_registry.addReportedRun(record, shard, m_timers.now());
     if (record.state == RunState::Running && !m_resolvers.contains(record.request)) {
         resolve(record.request, {{record.attempt, record.agentAddress}}, false);
     }
 }
 
-/// Of two owners that both had the request run, the earlier one bills it. Without that order each of two that find each
-/// other's charge would take its own bill back, and nobody would be billed.
-void GrantedRequests::addRival(const KnownRequest &known, const RunRecord &record)
+/// When two owners both let the request run, the earlier owner bills it. Without this rule, each owner that finds the
+/// charge of the other would drop its own bill, and nobody would be billed.
+void GrantedRequests::addConflictingRun(const KnownRequest &known, const RunRecord &record)
 {
     const bool isOfLaterOwner = known.epoch > 0 && record.epoch > known.epoch;
     if (isOfLaterOwner) {
@@ -243,21 +245,21 @@
     }
     RunResolver::Events events;
     events.ended = [this, record](const RunVerdict &verdict) {
-        finishRival(record, verdict);
+        finishConflictingRun(record, verdict);
     };
-    events.stuck = [] {};
-    RunResolver &resolver = *(m_rivalResolvers[record.request] =
+    events.agentUnreachable = [] {};
+    RunResolver &resolver = *(m_conflictingRunResolvers[record.request] =
                                   makeResolver(record.request, {{record.attempt, record.agentAddress}}, false, events));
     resolver.start();
 }
 
-void GrantedRequests::finishRival(RunRecord record, const RunVerdict &verdict)
+void GrantedRequests::finishConflictingRun(RunRecord record, const RunVerdict &verdict)
 {
-    m_rivalResolvers.erase(record.request);
+    m_conflictingRunResolvers.erase(record.request);
     record.state = verdict.end == ResolvedEnd::Done ? RunState::Done : RunState::Failed;
     record.chargedTokens = verdict.chargedTokens;
     const KnownRequest *known = m_registry.find(record.request);
-    if (known && known->isOwn) {
+    if (known && known->isGrantedHere) {
         return m_billing.noteRival(record);
     }
     if (known && !known->hasEnded()) {
@@ -265,21 +267,21 @@
     }
 }
 
-bool GrantedRequests::isStuck(const RequestId &request) const
+bool GrantedRequests::hasUnreachableAgent(const RequestId &request) const
 {
     const auto it = m_resolvers.find(request);
-    return it != m_resolvers.end() && it->second->isStuck();
+    return it != m_resolvers.end() && it->second->hasUnreachableAgent();
 }
 
-std::optional<RunRecord> GrantedRequests::takeRival(const RequestId &request)
+std::optional<RunRecord> GrantedRequests::takeConflictingRun(const RequestId &request)
 {
-    const RunRecord *rival = m_billing.rivalOf(request);
-    if (!rival) {
+    const RunRecord *conflictingRun = m_billing.rivalOf(request);
+    if (!conflictingRun) {
         return std::nullopt;
     }
-    const RunRecord record = *rival;
+    const RunRecord record = *conflictingRun;
     m_billing.forgetRival(request);
-    m_rivalResolvers.erase(request);
+    m_conflictingRunResolvers.erase(request);
     return record;
 }
 
@@ -306,7 +308,7 @@
     });
 }
 
-std::size_t GrantedRequests::open() const
+std::size_t GrantedRequests::openCount() const
 {
     return m_granted + m_billing.waiting();
 }
--- a/src/libradishswitch/requests/grantedrequests.h
+++ b/src/libradishswitch/requests/grantedrequests.h
@@ -6,7 +6,7 @@
 #include "budgets/billing.h"
 #include "requests/admission.h"
 #include "requests/admissionpipeline.h"
-#include "requests/claimbook.h"
+#include "requests/claimstore.h"
 #include "requests/keyshards.h"
 #include "requests/requestregistry.h"
 #include "requests/runresolver.h"
@@ -22,75 +22,76 @@
 namespace RadishSwitch
 {
 
-/// The requests that a home has granted, or learned of from agents: where they run and how they end, with one bill
-/// each.
+/// The requests that a home has granted, or of which agents have reported runs. Tracks where each request runs and how
+/// it ends, and bills it once.
 class GrantedRequests
 {
 public:
     struct Events {
-        /// What is known of the request has changed; those that wait for it may go on.
+        /// The state of the request has changed; admissions that wait for it may continue.
         std::function<void(const RequestId &)> changed;
-        /// An agent that may run the request cannot be asked.
-        std::function<void(const RequestId &)> stuck;
+        /// An agent that may run the request cannot be reached.
+        std::function<void(const RequestId &)> agentUnreachable;
     };
 
-    GrantedRequests(RequestRegistry &registry, KeyShards &shards, ClaimBook &claims, AgentPort &agents,
+    GrantedRequests(RequestRegistry &registry, KeyShards &shards, ClaimStore &claims, AgentPort &agents,
                     ReservationPort &reservations, TimerService &timers, RandomSource &random,
                     RunResolverSettings settings, Events events);
 
-    /// Notes the grant of an opening, and gives it.
-    Grant add(const Opening &opening);
+    /// Records the grant of an admission and returns it.
+    Grant add(const PendingAdmission &pending);
 
-    /// As in Home.
+    /// These three methods do what the methods of the same names in Home describe.
     void noteDispatched(const RequestId &request, const AttemptId &attempt, const std::string &agentAddress);
     void settle(const RequestId &request, const Settlement &settlement);
     void abandon(const RequestId &request, const AttemptId &grantedAttempt);
 
-    /// Whether an agent that may run the request cannot be asked.
-    bool isStuck(const RequestId &request) const;
+    /// Whether an agent that may run the request cannot be reached.
+    bool hasUnreachableAgent(const RequestId &request) const;
 
-    /// An agent told the new owner of a shard of a run.
-    void learn(std::uint32_t shard, const RunRecord &record);
+    /// Records a run of this shard that an agent reported to the shard's new owner.
+    void addReportedRun(std::uint32_t shard, const RunRecord &record);
 
-    /// A run of this request that an agent told of although the request was being admitted here as new. Handed out
-    /// once.
-    std::optional<RunRecord> takeRival(const RequestId &request);
+    /// Returns and removes a run of this request that an agent reported while this home was admitting the request as
+    /// new.
+    std::optional<RunRecord> takeConflictingRun(const RequestId &request);
 
-    /// Frees the reservation of a request that was not granted after all.
+    /// Releases the reservation of a request that was not granted after all.
     void release(const RequestId &request);
 
-    /// All agents have told what they know of the shard.
+    /// Called when all agents have reported their runs of the shard.
     void completeShard(std::uint32_t shard);
 
-    /// Looks for agents that have come and gone; every second or so.
+    /// Checks which agents have joined or left. The home calls it once per tick.
     void refresh();
 
-    /// The shard has gone to another owner.
+    /// Called when the shard has gone to another owner.
     void loseShard(std::uint32_t shard);
 
-    /// Those granted here that have not ended, and bills that wait.
-    std::size_t open() const;
+    /// The number of requests granted here that have not ended, plus the number of bills that are deferred.
+    std::size_t openCount() const;
 
 private:
     using Resolvers = std::map<RequestId, std::unique_ptr<RunResolver>>;
 
     void end(const RequestId &request, RequestState state, std::int64_t chargedTokens);
-    void endOwn(const RequestId &request, const KnownRequest &known, RequestState state, std::int64_t chargedTokens);
+    void endGrantedHere(const RequestId &request, const KnownRequest &known, RequestState state,
+                        std::int64_t chargedTokens);
     void endLost(const RequestId &request);
     void bill(const RequestId &request, const KnownRequest &known, std::int64_t chargedTokens);
 
-    void resolve(const RequestId &request, std::vector<Dispatch> places, bool cancel);
+    void resolve(const RequestId &request, std::vector<Dispatch> dispatches, bool cancel);
     void finishResolving(const RequestId &request, const RunVerdict &verdict);
-    std::vector<Dispatch> possiblePlaces(const KnownRequest &known);
-    std::unique_ptr<RunResolver> makeResolver(const RequestId &request, std::vector<Dispatch> places, bool cancel,
+    std::vector<Dispatch> possibleDispatches(const KnownRequest &known);
+    std::unique_ptr<RunResolver> makeResolver(const RequestId &request, std::vector<Dispatch> dispatches, bool cancel,
                                               RunResolver::Events events);
 
-    void addRival(const KnownRequest &known, const RunRecord &record);
-    void finishRival(RunRecord record, const RunVerdict &verdict);
+    void addConflictingRun(const KnownRequest &known, const RunRecord &record);
+    void finishConflictingRun(RunRecord record, const RunVerdict &verdict);
 
     RequestRegistry &m_registry;
     KeyShards &m_shards;
-    ClaimBook &m_claims;
+    ClaimStore &m_claims;
     AgentPort &m_agents;
     TimerService &m_timers;
     RandomSource &m_random;
@@ -98,9 +99,9 @@
     const Events m_events;
     AgentRoster m_roster;
     Billing m_billing;
-    /// Own requests that were abandoned, and learned ones that still ran.
+    /// Resolvers of abandoned requests that were granted here, and of reported runs that have not ended.
     Resolvers m_resolvers;
-    Resolvers m_rivalResolvers;
+    Resolvers m_conflictingRunResolvers;
     std::size_t m_granted = 0;
 };
 
--- a/src/libradishswitch/requests/home.cpp
+++ b/src/libradishswitch/requests/home.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// Others take over what this entry gives up within a moment.
+// The caller is told to retry after one second, because other entries take over the released shards almost at once.
 absl::Status draining()
 {
     return makeFailure(FailureCode::Draining, "this entry is stopping", std::chrono::milliseconds(1000));
@@ -27,7 +27,7 @@
     , m_shards(ports.store, ports.agents, ports.timers, ports.random, ports.entries, std::move(self),
                settings.ownership, {settings.holdLimit, settings.firstBackoff, settings.lastBackoff},
                {[this](std::uint32_t shard, const RunRecord &record) {
-                    m_granted.learn(shard, record);
+                    m_granted.addReportedRun(shard, record);
                 },
                 [this](std::uint32_t shard) {
                     m_granted.completeShard(shard);
@@ -40,17 +40,18 @@
     , m_granted(m_registry, m_shards, m_claims, ports.agents, ports.reservations, ports.timers, ports.random,
                 {settings.firstBackoff, settings.lastBackoff},
                 {[this](const RequestId &request) {
-                     reconsiderWaiters(request);
+                     retryWaiters(request);
                      finishStopping();
                  },
                  [this](const RequestId &request) {
-                     answerWaitersStuck(request);
+                     failWaiters(request);
                  }})
     , m_waiters(ports.timers)
     , m_refusalProof(m_shards.ownership(), ports.timers, settings.confirmLimit)
-    , m_pipeline(m_claims, ports.reservations, settings.retryAfter, [this](const Opening &opening, const auto &status) {
-        finishOpening(opening, status);
-    })
+    , m_pipeline(m_claims, ports.reservations, settings.retryAfter,
+                 [this](const PendingAdmission &pending, const auto &status) {
+                     finishAdmission(pending, status);
+                 })
 {
     m_tickTimer = m_ports.timers.every(m_settings.tick, m_life.guard([this] {
         tick();
@@ -79,108 +80,111 @@
     });
 }
 
-void Home::admit(AdmitQuestion question, AdmitCallback callback)
+void Home::admit(AdmissionQuery query, AdmitCallback callback)
 {
-    Admission admission{std::move(question), std::move(callback)};
+    Admission admission{std::move(query), std::move(callback)};
     if (m_isStopping) {
-        const bool isKeyed = admission.question.isKeyed;
+        const bool isKeyed = admission.query.isKeyed;
         return answer(admission.callback, isKeyed ? withUnknownOutcome(draining()) : draining());
     }
-    if (!admission.question.isKeyed) {
-        return consider(std::move(admission));
+    if (!admission.query.isKeyed) {
+        return decide(std::move(admission));
     }
-    const std::uint32_t shard = shardOf(admission.question.budget);
+    const std::uint32_t shard = shardOf(admission.query.budget);
     m_shards.prepare(shard, m_life.guard([this, admission = std::move(admission)](const absl::Status &status) {
         if (!status.ok()) {
             return answer(admission.callback, status);
         }
-        consider(admission);
+        decide(admission);
     }));
 }
 
-void Home::consider(Admission admission)
+void Home::decide(Admission admission)
 {
-    const AdmitQuestion &question = admission.question;
-    switch (m_registry.judge(question)) {
+    const AdmissionQuery &query = admission.query;
+    switch (m_registry.check(query)) {
     case RequestVerdict::Admit:
-        return begin(std::move(admission));
+        return startAdmission(std::move(admission));
     case RequestVerdict::Wait:
-        return wait(std::move(admission));
+        return addWaiter(std::move(admission));
     case RequestVerdict::Attach: {
-        const KnownRequest *known = m_registry.find(question.request);
+        const KnownRequest *known = m_registry.find(query.request);
         const Dispatch &last = known->dispatches.back();
         return answer(admission.callback,
                       DuplicateRun{last.agentAddress, last.attempt, known->state == RequestState::Done});
     }
-    case RequestVerdict::OtherBody:
+    case RequestVerdict::BodyMismatch:
         return answer(admission.callback,
                       withUnknownOutcome(makeFailure(FailureCode::KeyReusedForOtherBody,
                                                      "the idempotency key was used for another request")));
-    case RequestVerdict::Spent:
-        return answer(admission.callback,
-                      withUnknownOutcome(makeFailure(FailureCode::OutcomeUnknown,
-                                                     "an earlier try may have run and cannot be repeated")));
+    case RequestVerdict::NotRepeatable:
+        return answer(
+            admission.callback,
+            withUnknownOutcome(makeFailure(FailureCode::OutcomeUnknown,
+                                           "an earlier try of the request may have run, so it must not run again")));
     case RequestVerdict::Full:
-        return refuse(admission, shardOf(question.budget),
-                      makeFailure(FailureCode::Overloaded, "too many requests are remembered", m_settings.retryAfter));
+        return refuse(
+            admission, shardOf(query.budget),
+            makeFailure(FailureCode::Overloaded, "the home's request registry is full", m_settings.retryAfter));
     }
 }
 
-void Home::begin(Admission admission)
+void Home::startAdmission(Admission admission)
 {
-    Opening opening;
-    opening.admission = std::move(admission);
-    opening.attempt = AttemptId(m_ports.random.freshName());
-    const AdmitQuestion &question = opening.admission.question;
-    if (question.isKeyed) {
-        opening.shard = shardOf(question.budget);
-        opening.epoch = m_shards.ownership().epochOf(opening.shard).value_or(0);
+    PendingAdmission pending;
+    pending.admission = std::move(admission);
+    pending.attempt = AttemptId(m_ports.random.freshName());
+    const AdmissionQuery &query = pending.admission.query;
+    if (query.isKeyed) {
+        pending.shard = shardOf(query.budget);
+        pending.epoch = m_shards.ownership().epochOf(pending.shard).value_or(0);
     }
-    m_registry.open(question, opening.shard, opening.attempt);
-    m_pipeline.start(std::move(opening));
+    m_registry.open(query, pending.shard, pending.attempt);
+    m_pipeline.start(std::move(pending));
 }
 
-void Home::finishOpening(const Opening &opening, const absl::Status &status)
+void Home::finishAdmission(const PendingAdmission &pending, const absl::Status &status)
 {
-    const AdmitQuestion &question = opening.admission.question;
-    if (opening.isAbandoned) {
-        giveBack(opening);
-        return reconsiderWaiters(question.request);
+    const AdmissionQuery &query = pending.admission.query;
+    if (pending.isAbandoned) {
+        rollBack(pending);
+        return retryWaiters(query.request);
     }
-    if (const auto rival = m_granted.takeRival(question.request)) {
-        return yieldToRival(opening, *rival);
+    if (const auto conflictingRun = m_granted.takeConflictingRun(query.request)) {
+        return attachToConflictingRun(pending, *conflictingRun);
     }
     if (!status.ok()) {
-        giveBack(opening);
-        reconsiderWaiters(question.request);
-        return refuse(opening.admission, opening.shard, status);
+        rollBack(pending);
+        retryWaiters(query.request);
+        return refuse(pending.admission, pending.shard, status);
     }
-    if (question.isKeyed && m_shards.ownership().epochOf(opening.shard) != opening.epoch) {
-        giveBack(opening);
-        reconsiderWaiters(question.request);
-        return answer(opening.admission.callback,
-                      withUnknownOutcome(makeFailure(FailureCode::HomeElsewhere, "the key shard has moved")));
+    if (query.isKeyed && m_shards.ownership().epochOf(pending.shard) != pending.epoch) {
+        rollBack(pending);
+        retryWaiters(query.request);
+        return answer(pending.admission.callback,
+                      withUnknownOutcome(makeFailure(FailureCode::HomeElsewhere, "the key shard has a new owner")));
     }
-    answer(opening.admission.callback, m_granted.add(opening));
+    answer(pending.admission.callback, m_granted.add(pending));
 }
 
-/// An agent that could not be asked before has told of a run of this request: it is a duplicate after all.
-void Home::yieldToRival(const Opening &opening, const RunRecord &rival)
+/// While the request was being admitted, an agent that could not be reached before has reported a run of it. So the
+/// request is a duplicate.
+void Home::attachToConflictingRun(const PendingAdmission &pending, const RunRecord &conflictingRun)
 {
-    giveBack(opening);
-    m_granted.learn(opening.shard, rival);
-    consider(opening.admission);
-    reconsiderWaiters(rival.request);
+    rollBack(pending);
+    m_granted.addReportedRun(pending.shard, conflictingRun);
+    decide(pending.admission);
+    retryWaiters(conflictingRun.request);
 }
 
-void Home::giveBack(const Opening &opening)
+void Home::rollBack(const PendingAdmission &pending)
 {
-    const RequestId &request = opening.admission.question.request;
-    if (opening.reserved.tokens > 0) {
+    const RequestId &request = pending.admission.query.request;
+    if (pending.reserved.tokens > 0) {
         m_granted.release(request);
     }
-    if (opening.isClaimed) {
-        m_claims.note(opening.shard, request, opening.attempt, ClaimState::NotRun);
+    if (pending.isClaimed) {
+        m_claims.setState(pending.shard, request, pending.attempt, ClaimState::NotRun);
     }
     m_registry.forget(request);
     finishStopping();
@@ -188,57 +192,59 @@
 
 void Home::refuse(const Admission &admission, std::uint32_t shard, const absl::Status &status)
 {
-    const AdmitQuestion &question = admission.question;
-    if (!question.isKeyed || outcomeOf(status) == RunOutcome::Unknown) {
+    const AdmissionQuery &query = admission.query;
+    if (!query.isKeyed || outcomeOf(status) == RunOutcome::Unknown) {
         return answer(admission.callback, status);
     }
-    // An agent that could not be asked may be running it. An order would have left a claim.
-    const bool isUnsure = !question.isNonIdempotent && !m_shards.isComplete(shard);
+    // An agent that cannot be reached may be running the request. This does not apply to a non-idempotent request,
+    // whose earlier run would have left a claim.
+    const bool isUnsure = !query.isNonIdempotent && !m_shards.isComplete(shard);
     const FailureCode code = failureCode(status);
     const bool isStoreAway = code == FailureCode::StoreUnavailable || code == FailureCode::StoreTimeout;
     if (isUnsure || isStoreAway) {
         return answer(admission.callback, withUnknownOutcome(status));
     }
-    m_refusalProof.seek(shard, m_life.guard([this, admission, status](bool isProven) {
-        // Another question of the same request may have been admitted meanwhile.
-        const bool isOpenAgain = m_registry.find(admission.question.request) != nullptr;
+    m_refusalProof.obtain(shard, m_life.guard([this, admission, status](bool isProven) {
+        // Another query of the same request may have been admitted in the meantime.
+        const bool isOpenAgain = m_registry.find(admission.query.request) != nullptr;
         answer(admission.callback, isProven && !isOpenAgain ? status : withUnknownOutcome(status));
     }));
 }
 
-void Home::wait(Admission admission)
+void Home::addWaiter(Admission admission)
 {
-    const RequestId request = admission.question.request;
-    if (m_granted.isStuck(request)) {
-        return answer(admission.callback, cannotTell());
+    const RequestId request = admission.query.request;
+    if (m_granted.hasUnreachableAgent(request)) {
+        return answer(admission.callback, unreachableAgentFailure());
     }
     m_waiters.add(std::move(admission), m_life.guard([this](const Admission &expired) {
         answer(expired.callback,
                withUnknownOutcome(makeFailure(FailureCode::DeadlineExceeded,
-                                              "an earlier try of the same request is not decided",
+                                              "an earlier try of the same request has not been decided yet",
                                               m_settings.retryAfter)));
     }));
 }
 
-absl::Status Home::cannotTell() const
+absl::Status Home::unreachableAgentFailure() const
 {
-    return withUnknownOutcome(makeFailure(
-        FailureCode::OutcomeUnknown, "an earlier try went to an agent that cannot be asked", m_settings.retryAfter));
+    return withUnknownOutcome(makeFailure(FailureCode::OutcomeUnknown,
+                                          "an earlier try may be running at an agent that cannot be reached",
+                                          m_settings.retryAfter));
 }
 
-void Home::reconsiderWaiters(const RequestId &request)
+void Home::retryWaiters(const RequestId &request)
 {
     for (Admission &admission : m_waiters.take(request)) {
-        admit(std::move(admission.question), std::move(admission.callback));
+        admit(std::move(admission.query), std::move(admission.callback));
     }
 }
 
-void Home::answerWaitersStuck(const RequestId &request)
+void Home::failWaiters(const RequestId &request)
 {
     const KnownRequest *known = m_registry.find(request);
-    if (known && known->state == RequestState::Admitted) {
+    if (known && known->state == RequestState::Granted) {
         for (const Admission &admission : m_waiters.take(request)) {
-            answer(admission.callback, cannotTell());
+            answer(admission.callback, unreachableAgentFailure());
         }
     }
 }
@@ -281,7 +287,7 @@
 
 std::size_t Home::openRequests() const
 {
-    return m_granted.open() + m_pipeline.size();
+    return m_granted.openCount() + m_pipeline.size();
 }
 
 void Home::stop(std::function<void()> callback)
@@ -296,7 +302,7 @@
 
 void Home::finishStopping()
 {
-    if (m_stopped && m_isHandedOver && openRequests() == 0 && !m_claims.hasUnwrittenNotes()) {
+    if (m_stopped && m_isHandedOver && openRequests() == 0 && !m_claims.hasUnwrittenUpdates()) {
         m_ports.tasks.post(std::exchange(m_stopped, {}));
     }
 }
--- a/src/libradishswitch/requests/home.h
+++ b/src/libradishswitch/requests/home.h
@@ -11,7 +11,7 @@
 #include "requests/admission.h"
 #include "requests/admissionpipeline.h"
 #include "requests/admissionwaiters.h"
-#include "requests/claimbook.h"
+#include "requests/claimstore.h"
 #include "requests/grantedrequests.h"
 #include "requests/keyowner.h"
 #include "requests/keyownership.h"
@@ -31,22 +31,23 @@
 struct HomeSettings {
     KeyOwnershipSettings ownership;
     RequestRegistrySettings registry;
-    ClaimBookSettings claims;
-    /// How long requests of a shard wait, after it changed hands, for agents that neither answer nor fail.
+    ClaimStoreSettings claims;
+    /// After a shard has changed hands, its requests wait this long at most for agents that neither answer nor fail.
     Duration holdLimit = std::chrono::seconds(2);
-    /// Between two questions to an agent that could not be asked, or whose run goes on: doubles, with jitter.
+    /// The pause before the home asks again an agent that cannot be reached or whose run has not ended. It doubles from
+    /// the first to the last backoff, with jitter.
     Duration firstBackoff = std::chrono::milliseconds(100);
     Duration lastBackoff = std::chrono::seconds(10);
-    /// How often the parts look after themselves: expiry, agents that joined.
+    /// Interval of periodic work: expiry of ended requests, and the search for agents that have joined or left.
     Duration tick = std::chrono::seconds(1);
-    /// How long a refusal waits for the proof that the id did not run under a later owner; then it goes out as of
-    /// unknown outcome.
+    /// How long a refusal waits for the proof that the request did not run under a later owner of the shard. After that
+    /// it is sent with an unknown outcome.
     Duration confirmLimit = std::chrono::milliseconds(500);
-    /// What a caller is told when nothing better is known.
+    /// The time after which a caller is told to retry when no better value is known.
     std::chrono::milliseconds retryAfter{2000};
 };
 
-/// What a home works with. All must outlive it.
+/// The services that a home uses. They must all outlive the home.
 struct HomePorts {
     TimerService &timers;
     TaskQueue &tasks;
@@ -57,72 +58,75 @@
     const EntryDirectory &entries;
 };
 
-/// Decides, for the requests whose home is this entry, which may run, so that each runs and is billed once.
+/// Decides which requests may run, for the requests whose home is this entry, so that each runs and is billed once.
 ///
-/// Requests with an idempotency key belong to a key shard with one owner over the fleet; a home that is asked for a
-/// shard without a living owner takes it over. Requests without one need no owner: any home whose budgets cover them
-/// will do.
+/// Requests with an idempotency key belong to a key shard, which has one owner in the whole fleet. When a home is asked
+/// about a shard whose owner is dead, or that has none, it takes the shard over. Requests without a key need no owner:
+/// any home whose budgets cover them can decide.
 ///
-/// Single-threaded: the answers of the ports and the timers must come under the same guard as the calls. What it
-/// answers itself goes out by the task queue, outside that guard.
+/// Single-threaded: the callbacks of the ports and timers must run under the same lock as the calls. The home's own
+/// answers are posted to the task queue and run outside that lock.
 class Home
 {
 public:
-    /// `self` names this entry; its epoch is not used.
+    /// `self` describes this entry; its epoch is not used.
     Home(const HomePorts &ports, KeyOwner self, HomeSettings settings);
     ~Home();
 
     Home(const Home &) = delete;
     Home &operator=(const Home &) = delete;
 
-    /// Decides on a request. Answers with a Grant, or with where the run of the same request is to be found; a second
-    /// question of a request waits until the first was dispatched or has ended.
+    /// Decides on a request. Answers with a Grant, or with the agent that has the run of the same request. A second
+    /// query of a request waits until the first one is dispatched or has ended.
     ///
-    /// Errors: HomeElsewhere (ask the owner of the shard, `ownerOf`), Draining, KeyReusedForOtherBody, OutcomeUnknown,
-    /// AnswerGone, BudgetExhausted and the other answers of budgets, StoreUnavailable, Overloaded, DeadlineExceeded.
-    /// A failure whose outcome is NotRun is true for the request id, not for this question alone: earlier tries with
-    /// the same key did not run either.
-    void admit(AdmitQuestion question, AdmitCallback callback);
-
-    /// The attempt is about to be sent to this agent. Call it before the run leaves the entry; for an attempt other
-    /// than the grant's own the run must wait until the home has this on its books. `agentAddress` names one life of
-    /// one agent (its address with its incarnation), and is handed back in DuplicateRun and to the AgentPort.
+    /// Errors: HomeElsewhere (ask the shard's owner, see `ownerOf`), Draining, KeyReusedForOtherBody, OutcomeUnknown,
+    /// AnswerGone, BudgetExhausted and other errors of the budget, StoreUnavailable, Overloaded, DeadlineExceeded. A
+    /// failure with the outcome NotRun is valid for the request id, not only for this query: earlier tries with the
+    /// same key did not run either.
+    void admit(AdmissionQuery query, AdmitCallback callback);
+
+    /// Records that an attempt is about to be sent to this agent. Call it before the entry sends the run. An attempt
+    /// other than the grant's own must not be sent before the home has recorded it. `agentAddress` identifies one
+    /// incarnation of an agent (its address together with its incarnation); it is returned in DuplicateRun and passed
+    /// to AgentPort.
     void noteDispatched(const RequestId &request, const AttemptId &attempt, const std::string &agentAddress);
 
-    /// Ends a granted request. Telling it twice changes nothing.
+    /// Ends a granted request. A second call for the same grant has no effect.
     void settle(const RequestId &request, const Settlement &settlement);
 
-    /// The entry that served the request is gone, or the stream to it: the home finds out at the agents what became
-    /// of the run, and settles by that. `grantedAttempt` as in Settlement. Harmless for a request that has ended.
+    /// The entry that served the request is gone, or its stream to the home is broken. The home asks the agents what
+    /// became of the run and settles the request accordingly. `grantedAttempt` has the meaning that it has in
+    /// Settlement. Has no effect on a request that has ended.
     void abandon(const RequestId &request, const AttemptId &grantedAttempt = AttemptId());
 
-    /// An agent refused a run that this home granted under this epoch: it may have been deposed.
+    /// An agent refused a run that this home granted under this epoch, so the home may have been deposed and checks it.
     void noteStaleEpoch(std::uint32_t shard, std::uint64_t epoch);
 
-    /// The key shard of a budget, and its owner as last heard of, to know which home to ask.
+    /// The key shard of a budget, and the last known owner of a shard. An entry uses them to find the home to ask.
     std::uint32_t shardOf(const BudgetId &budget) const;
     std::optional<KeyOwner> ownerOf(std::uint32_t shard) const;
 
-    /// Planned stop: grants nothing more, gives the key shards free, and calls back when every request granted here
-    /// has ended. Until then `settle` and `abandon` must go on.
+    /// Planned shutdown: grants nothing more, releases the key shards, and calls back when every request granted here
+    /// has ended. Until then `settle` and `abandon` must still be called.
     void stop(std::function<void()> callback);
 
-    /// Requests that are granted and have not ended.
+    /// The number of requests that are being admitted, or are granted and have not ended, plus the number of deferred
+    /// bills.
     std::size_t openRequests() const;
 
 private:
-    void consider(Admission admission);
-    void begin(Admission admission);
-    void finishOpening(const Opening &opening, const absl::Status &status);
-    void yieldToRival(const Opening &opening, const RunRecord &rival);
-    void giveBack(const Opening &opening);
+    void decide(Admission admission);
+    void startAdmission(Admission admission);
+    void finishAdmission(const PendingAdmission &pending, const absl::Status &status);
+    void attachToConflictingRun(const PendingAdmission &pending, const RunRecord &conflictingRun);
+    void rollBack(const PendingAdmission &pending);
     void refuse(const Admission &admission, std::uint32_t shard, const absl::Status &status);
     void answer(const AdmitCallback &callback, absl::StatusOr<AdmitDecision> decision);
 
-    void wait(Admission admission);
-    void reconsiderWaiters(const RequestId &request);
-    void answerWaitersStuck(const RequestId &request);
-    absl::Status cannotTell() const;
+    void addWaiter(Admission admission);
+    void retryWaiters(const RequestId &request);
+    void failWaiters(const RequestId &request);
+    absl::Status unreachableAgentFailure() const;
 
     void loseShard(std::uint32_t shard);
     void tick();
@@ -132,7 +136,7 @@
     const HomeSettings m_settings;
     RequestRegistry m_registry;
     KeyShards m_shards;
-    ClaimBook m_claims;
+    ClaimStore m_claims;
     GrantedRequests m_granted;
     AdmissionWaiters m_waiters;
     RefusalProof m_refusalProof;
--- a/src/libradishswitch/requests/keyowner.h
+++ b/src/libradishswitch/requests/keyowner.h
@@ -10,19 +10,19 @@
 namespace RadishSwitch
 {
 
-/// Who decides on the requests of one key shard, as the store's object `keyowners/NNNN` says.
+/// The entry that decides on the requests of one key shard, as recorded in the store's object `keyowners/NNNN`.
 struct KeyOwner {
-    /// Empty after a planned stop: the shard is free for the next owner.
+    /// Empty after a planned shutdown: the shard has no owner and any entry can take it.
     IncarnationId incarnation;
     std::string address;
     std::string region;
-    /// Grows by one with every change of owner.
+    /// Incremented with every change of owner.
     std::uint64_t epoch = 0;
 
     bool operator==(const KeyOwner &) const = default;
 };
 
-/// The object's text, and back. Errors: ObjectMalformed.
+/// Encodes and decodes the text of the object. Error: ObjectMalformed.
 std::string encodeKeyOwner(const KeyOwner &owner);
 absl::StatusOr<KeyOwner> decodeKeyOwner(const std::string &text);
 
--- a/src/libradishswitch/requests/keyownership.cpp
+++ b/src/libradishswitch/requests/keyownership.cpp
@@ -15,7 +15,8 @@
 namespace
 {
 
-/// A conditional write that lost against another is tried again after a read; more often than this means a crowd.
+/// A conditional write that failed because of another write is retried after a new read. More conflicts than this mean
+/// that many entries compete for the shard.
 constexpr int kAcquireTries = 4;
 
 constexpr char kPrefix[] = "keyowners/";
@@ -78,8 +79,8 @@
 
 std::optional<std::uint64_t> KeyOwnership::epochOf(std::uint32_t shard) const
 {
-    const auto it = m_known.find(shard);
-    if (m_isHandedOver || it == m_known.end() || !isSelf(it->second.owner)) {
+    const auto it = m_knownOwners.find(shard);
+    if (m_isHandedOver || it == m_knownOwners.end() || !isSelf(it->second.owner)) {
         return std::nullopt;
     }
     return it->second.owner.epoch;
@@ -87,8 +88,8 @@
 
 std::optional<KeyOwner> KeyOwnership::ownerOf(std::uint32_t shard) const
 {
-    const auto it = m_known.find(shard);
-    if (it == m_known.end()) {
+    const auto it = m_knownOwners.find(shard);
+    if (it == m_knownOwners.end()) {
         return std::nullopt;
     }
     return it->second.owner;
@@ -116,21 +117,21 @@
 {
     const std::string key = objectKey(acquisition.shard);
     m_store.get(key, m_life.guard([this, acquisition = std::move(acquisition)](const auto &object) {
-        considerTaking(acquisition, object);
+        tryTakeOver(acquisition, object);
     }));
 }
 
-void KeyOwnership::considerTaking(Acquisition acquisition, const absl::StatusOr<StoredObject> &object)
+void KeyOwnership::tryTakeOver(Acquisition acquisition, const absl::StatusOr<StoredObject> &object)
 {
     const bool isMissing = !object.ok() && failureCode(object.status()) == FailureCode::ObjectMissing;
     if (isMissing) {
         return writeSelf(std::move(acquisition), 0, 0);
     }
-    const auto owner = learn(acquisition.shard, object);
+    const auto owner = updateOwner(acquisition.shard, object);
     if (!owner.ok()) {
         return acquisition.callback(withUnknownOutcome(owner.status()));
     }
-    // Also how a write whose answer was lost is found to have taken effect: nobody else writes this incarnation.
+    // This also detects a write that took effect although its answer was lost: nobody else writes this incarnation.
     if (isSelf(*owner)) {
         return acquisition.callback(*owner);
     }
@@ -144,7 +145,7 @@
 {
     if (m_entries.livenessOf(owner.incarnation, owner.region, owner.address) == EntryLiveness::Unreachable) {
         return withUnknownOutcome(makeFailure(FailureCode::OutcomeUnknown,
-                                              "the owner of the key's shard cannot be asked", m_settings.retryAfter));
+                                              "the owner of the key's shard cannot be reached", m_settings.retryAfter));
     }
     return withUnknownOutcome(makeFailure(FailureCode::HomeElsewhere, owner.address));
 }
@@ -161,7 +162,7 @@
     const std::string key = objectKey(acquisition.shard);
     const auto done = [this, acquisition = std::move(acquisition), owner](const auto &written) {
         if (written.ok()) {
-            m_known[acquisition.shard] = {owner, *written};
+            m_knownOwners[acquisition.shard] = {owner, *written};
             return acquisition.callback(owner);
         }
         if (failureCode(written.status()) == FailureCode::StoreUnavailable) {
@@ -172,7 +173,7 @@
     m_store.put(key, encodeKeyOwner(owner), version, m_life.guard(done));
 }
 
-absl::StatusOr<KeyOwner> KeyOwnership::learn(std::uint32_t shard, const absl::StatusOr<StoredObject> &object)
+absl::StatusOr<KeyOwner> KeyOwnership::updateOwner(std::uint32_t shard, const absl::StatusOr<StoredObject> &object)
 {
     if (!object.ok()) {
         return object.status();
@@ -181,7 +182,7 @@
     if (!owner.ok()) {
         return owner;
     }
-    Known &known = m_known[shard];
+    KnownOwner &known = m_knownOwners[shard];
     if (object->version < known.version) {
         return known.owner;
     }
@@ -214,7 +215,7 @@
 
 void KeyOwnership::finishConfirm(std::uint32_t shard, const absl::StatusOr<StoredObject> &object)
 {
-    const auto owner = learn(shard, object);
+    const auto owner = updateOwner(shard, object);
     const auto waiting = std::exchange(m_confirmations[shard].current, {});
     m_confirmations[shard].isReading = false;
     if (!m_confirmations[shard].next.empty()) {
@@ -238,7 +239,7 @@
 
 void KeyOwnership::checkOwned()
 {
-    for (const auto &[shard, known] : m_known) {
+    for (const auto &[shard, known] : m_knownOwners) {
         if (isSelf(known.owner)) {
             confirm(shard, [](const absl::Status &) {});
         }
@@ -262,10 +263,10 @@
     m_isListing = false;
     m_listedAt = m_timers.now();
     if (!changes.ok()) {
-        return listAgainLater();
+        return retryListingLater();
     }
     m_backoff = Backoff(m_settings.firstBackoff, m_settings.lastBackoff);
-    takeIn(changes->objects);
+    updateOwners(changes->objects);
     if (!m_isWatchOpen) {
         watch(changes->nextVersion);
     }
@@ -274,23 +275,23 @@
 void KeyOwnership::watch(std::uint64_t fromVersion)
 {
     m_isWatchOpen = true;
-    const auto heard = [this, number = ++m_watchNumber](const absl::StatusOr<StoreChanges> &changes) {
+    const auto handleChanges = [this, number = ++m_watchNumber](const absl::StatusOr<StoreChanges> &changes) {
         if (number != m_watchNumber) {
             return;
         }
         m_isWatchOpen = false;
         if (!changes.ok()) {
-            return listAgainLater();
+            return retryListingLater();
         }
         m_listedAt = m_timers.now();
-        takeIn(changes->objects);
+        updateOwners(changes->objects);
         watch(changes->nextVersion);
     };
-    m_store.watch(kPrefix, fromVersion, m_life.guard(heard));
+    m_store.watch(kPrefix, fromVersion, m_life.guard(handleChanges));
 }
 
-/// A watch can go silent for good while new calls work. Nothing is lost by that but time: who owns what would be
-/// learned by refusals only.
+/// A watch can stop delivering changes for good while new calls still work. This costs only time, because a change of
+/// owner would then be learned only when a request is refused.
 void KeyOwnership::replaceSilentWatch()
 {
     const bool isSilent = m_listedAt && m_timers.now() - *m_listedAt > m_settings.checkInterval * 2;
@@ -301,7 +302,7 @@
     }
 }
 
-void KeyOwnership::listAgainLater()
+void KeyOwnership::retryListingLater()
 {
     m_timers.cancel(m_listTimer);
     m_listTimer = m_timers.after(m_backoff.next(m_random), m_life.guard([this] {
@@ -309,12 +310,12 @@
     }));
 }
 
-void KeyOwnership::takeIn(const std::vector<StoredObject> &objects)
+void KeyOwnership::updateOwners(const std::vector<StoredObject> &objects)
 {
     for (const StoredObject &object : objects) {
         const auto shard = shardOfKey(object.key);
         if (shard && object.version > 0) {
-            (void)learn(*shard, object);
+            (void)updateOwner(*shard, object);
         }
     }
 }
@@ -323,7 +324,7 @@
 {
     m_isHandedOver = true;
     std::vector<std::uint32_t> shards;
-    for (const auto &[shard, known] : m_known) {
+    for (const auto &[shard, known] : m_knownOwners) {
         if (isSelf(known.owner)) {
             shards.push_back(shard);
         }
@@ -333,7 +334,7 @@
     }
     const auto remaining = std::make_shared<std::size_t>(shards.size());
     for (const std::uint32_t shard : shards) {
-        Known &known = m_known[shard];
+        KnownOwner &known = m_knownOwners[shard];
         known.owner.incarnation = IncarnationId();
         m_store.put(objectKey(shard), encodeKeyOwner(known.owner), known.version, [remaining, callback](const auto &) {
             if (--*remaining == 0) {
--- a/src/libradishswitch/requests/keyownership.h
+++ b/src/libradishswitch/requests/keyownership.h
@@ -21,31 +21,35 @@
 {
 
 struct KeyOwnershipSettings {
-    /// The same all over the fleet, for ever: a change would send the retries of a key to another owner.
+    /// Must be the same in the whole fleet and never change: a change would send the retries of a key to another owner.
     std::uint32_t shardCount = 256;
-    /// Whether to hear of all changes by a watch; one waiting call a process.
+    /// Whether to receive all changes of ownership through a watch, which keeps one call to the store waiting for each
+    /// process.
     bool isWatching = true;
-    /// How often an owner reads its own records back, should the watch have gone silent. Not needed for safety: agents
-    /// refuse what a deposed owner grants.
+    /// How often an owner reads its own records again, in case the watch has stopped delivering changes. Safety does
+    /// not depend on it: agents refuse the runs that a deposed owner grants.
     Duration checkInterval = std::chrono::seconds(30);
-    /// How old the list of owners may be when a request is refused by it; an older one is fetched anew meanwhile.
+    /// The age up to which the list of owners is current. A request is refused by an older list as well, but the list
+    /// is then fetched again.
     Duration listLifetime = std::chrono::seconds(10);
     Duration firstBackoff = std::chrono::milliseconds(200);
     Duration lastBackoff = std::chrono::seconds(10);
-    /// What a caller is told when the owner cannot be asked.
+    /// The time after which a caller is told to retry when the shard's owner cannot be reached.
     std::chrono::milliseconds retryAfter{2000};
 };
 
-/// Which key shards this entry owns, and who owns the others, by the objects `keyowners/NNNN` of the store.
+/// The key shards that this entry owns, and the owners of the others, as recorded in the objects `keyowners/NNNN` of
+/// the store.
 ///
-/// A shard has one owner over the whole fleet. It moves by conditional write with the epoch raised by one: when it is
-/// free, or when its owner is seen dead. No lease and no clock guards it; the epoch does, at the agents. So an owner
-/// that cannot reach the store stays owner, and one that was deposed unaware does no harm until it finds out.
+/// A shard has one owner in the whole fleet. An entry takes a shard that has no owner, or whose owner is dead, by a
+/// conditional write that increments the epoch. Ownership is protected by neither a lease nor a clock, but by the
+/// epoch, which the agents check. So an owner that cannot reach the store stays the owner, and an owner that has been
+/// deposed without noticing does no harm until it learns of it.
 ///
-/// Who owns the other shards is heard by a watch, so that a request for a shard that another entry owns costs the store
-/// nothing, also while a partition lasts and thousands of them come each second.
+/// Changes of the other shards' owners arrive through a watch. A request for a shard that another entry owns therefore
+/// costs no call to the store, even during a partition with thousands of such requests per second.
 ///
-/// Single-threaded; the answers of the store and the timers must come under the same guard as the calls.
+/// Single-threaded: the callbacks of the store and the timers must run under the same lock as the calls.
 class KeyOwnership
 {
 public:
@@ -53,7 +57,8 @@
     using ConfirmCallback = std::function<void(absl::Status)>;
     using LostCallback = std::function<void(std::uint32_t shard)>;
 
-    /// `self` names this entry; its epoch is not used. `lost` is called when a shard turns out to have gone to another.
+    /// `self` describes this entry; its epoch is not used. `lost` is called when this entry learns that one of its
+    /// shards has gone to another owner.
     KeyOwnership(ObjectStore &store, TimerService &timers, RandomSource &random, const EntryDirectory &entries,
                  KeyOwner self, KeyOwnershipSettings settings, LostCallback lost);
     ~KeyOwnership();
@@ -61,37 +66,38 @@
     KeyOwnership(const KeyOwnership &) = delete;
     KeyOwnership &operator=(const KeyOwnership &) = delete;
 
-    /// The shard to which all keyed requests of a budget belong.
+    /// The shard of all keyed requests of a budget.
     std::uint32_t shardOf(const BudgetId &budget) const;
 
-    /// The epoch under which this entry owns the shard, as far as it knows; nothing when it does not own it.
+    /// The epoch under which this entry owns the shard, to its knowledge; nothing when it does not own the shard.
     std::optional<std::uint64_t> epochOf(std::uint32_t shard) const;
 
-    /// The owner as last read, whoever it is.
+    /// The owner that was last read from the store, which may be this entry.
     std::optional<KeyOwner> ownerOf(std::uint32_t shard) const;
 
-    /// Makes this entry the shard's owner if it is free, was never owned, or its owner is dead, and gives the record.
-    /// Errors: HomeElsewhere when another owns it; OutcomeUnknown, with the time to come back, when the owner cannot
-    /// be reached but may be serving; StoreUnavailable, StoreTimeout. Each is marked as of unknown outcome: nothing
-    /// was learned of the request's past.
+    /// Makes this entry the owner of the shard when the shard was never owned, has no owner, or its owner is dead;
+    /// returns the record. Errors: HomeElsewhere when another entry owns the shard; OutcomeUnknown, with a time to
+    /// retry, when the owner cannot be reached but may be serving; StoreUnavailable, StoreTimeout. Each error has an
+    /// unknown outcome, because it says nothing about earlier runs of the request.
     void acquire(std::uint32_t shard, AcquireCallback callback);
 
-    /// Reads the record again, beginning after this call. OK when this entry was still the owner then; so nobody else
-    /// had granted anything in the shard. HomeElsewhere when it was not.
+    /// Reads the record again, in a read that begins after this call. OK when this entry still owns the shard in that
+    /// read, which proves that no other entry had granted a request of the shard before. HomeElsewhere when it does
+    /// not.
     void confirm(std::uint32_t shard, ConfirmCallback callback);
 
-    /// An agent refused a run granted under this epoch: look at once whether the shard has gone.
+    /// An agent refused a run that was granted under this epoch: checks at once whether the shard has another owner.
     void noteStaleEpoch(std::uint32_t shard, std::uint64_t epoch);
 
-    /// Gives all shards free for the next owner and calls back when each write has ended. A shard whose write did not
-    /// come through is taken over later like a dead owner's.
+    /// Releases all shards for their next owners and calls back when every write has ended. A shard whose write failed
+    /// is taken over later, like the shard of a dead owner.
     void handOver(std::function<void()> callback);
 
-    /// The key of a shard's object.
+    /// The key of a shard's object in the store.
     static std::string objectKey(std::uint32_t shard);
 
 private:
-    struct Known {
+    struct KnownOwner {
         KeyOwner owner;
         std::uint64_t version = 0;
     };
@@ -102,7 +108,7 @@
         AcquireCallback callback;
     };
 
-    /// Who waits for a read that is under way, and who came too late for it and waits for the next.
+    /// Callers that wait for the read in progress, and callers that arrived after it began and wait for the next read.
     struct Confirmation {
         bool isReading = false;
         std::vector<ConfirmCallback> current;
@@ -111,11 +117,11 @@
 
     bool isSelf(const KeyOwner &owner) const;
     void readForAcquire(Acquisition acquisition);
-    void considerTaking(Acquisition acquisition, const absl::StatusOr<StoredObject> &object);
+    void tryTakeOver(Acquisition acquisition, const absl::StatusOr<StoredObject> &object);
     void writeSelf(Acquisition acquisition, std::uint64_t lastEpoch, std::uint64_t version);
     void readForConfirm(std::uint32_t shard);
     void finishConfirm(std::uint32_t shard, const absl::StatusOr<StoredObject> &object);
-    absl::StatusOr<KeyOwner> learn(std::uint32_t shard, const absl::StatusOr<StoredObject> &object);
+    absl::StatusOr<KeyOwner> updateOwner(std::uint32_t shard, const absl::StatusOr<StoredObject> &object);
     absl::Status refusalFor(const KeyOwner &owner) const;
     void checkOwned();
     bool isTakenByOther(const KeyOwner &owner) const;
@@ -123,9 +129,9 @@
     void listAll();
     void finishListing(const absl::StatusOr<StoreChanges> &changes);
     void watch(std::uint64_t fromVersion);
-    void listAgainLater();
+    void retryListingLater();
     void replaceSilentWatch();
-    void takeIn(const std::vector<StoredObject> &objects);
+    void updateOwners(const std::vector<StoredObject> &objects);
 
     ObjectStore &m_store;
     TimerService &m_timers;
@@ -134,12 +140,12 @@
     const KeyOwner m_self;
     const KeyOwnershipSettings m_settings;
     const LostCallback m_lost;
-    std::map<std::uint32_t, Known> m_known;
+    std::map<std::uint32_t, KnownOwner> m_knownOwners;
     std::map<std::uint32_t, Confirmation> m_confirmations;
     bool m_isHandedOver = false;
     bool m_isListing = false;
     bool m_isWatchOpen = false;
-    /// An answer of an earlier watch than this one is dropped.
+    /// Number of the current watch. Answers to earlier watches are ignored.
     std::uint64_t m_watchNumber = 0;
     std::optional<Instant> m_listedAt;
     Backoff m_backoff;
--- a/src/libradishswitch/requests/keyshards.cpp
+++ b/src/libradishswitch/requests/keyshards.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// The epoch of a shard that nobody owned before: there are no earlier runs to collect.
+/// The epoch of a shard that had no earlier owner, so that there are no earlier runs to collect.
 constexpr std::uint64_t kFirstEpoch = 1;
 
 }
@@ -24,7 +24,7 @@
     , m_collectorSettings(collector)
     , m_events(std::move(events))
     , m_ownership(store, timers, random, entries, std::move(self), ownership, [this](std::uint32_t shard) {
-        lose(shard);
+        handleLoss(shard);
     })
 {
 }
@@ -109,7 +109,7 @@
     return !it->second.collector || it->second.collector->isComplete();
 }
 
-bool KeyShards::isHeld(std::uint32_t shard) const
+bool KeyShards::isAcquired(std::uint32_t shard) const
 {
     const auto it = m_shards.find(shard);
     return it != m_shards.end() && it->second.epoch != 0;
@@ -124,7 +124,7 @@
     }
 }
 
-void KeyShards::lose(std::uint32_t shard)
+void KeyShards::handleLoss(std::uint32_t shard)
 {
     Shard &state = m_shards[shard];
     state.epoch = 0;
--- a/src/libradishswitch/requests/keyshards.h
+++ b/src/libradishswitch/requests/keyshards.h
@@ -19,8 +19,8 @@
 namespace RadishSwitch
 {
 
-/// The key shards of this entry: acquired when they are first asked for, and open for requests once the agents have
-/// told what earlier owners ran.
+/// The key shards of this entry. A shard is acquired when it is first needed, and opened for requests when the agents
+/// have reported the runs that earlier owners granted.
 class KeyShards
 {
 public:
@@ -28,7 +28,7 @@
 
     struct Events {
         std::function<void(std::uint32_t shard, const RunRecord &record)> runFound;
-        /// Every agent has answered.
+        /// Every agent has reported its runs of the shard.
         std::function<void(std::uint32_t shard)> completed;
         /// The shard has gone to another owner.
         std::function<void(std::uint32_t shard)> lost;
@@ -38,17 +38,17 @@
               const EntryDirectory &entries, KeyOwner self, KeyOwnershipSettings ownership,
               ShardCollectorSettings collector, Events events);
 
-    /// Calls back, in place or later, when the shard is owned here and requests may be decided; or with the errors of
-    /// KeyOwnership::acquire.
+    /// Calls back, during this call or later, when this entry owns the shard and may decide on its requests; or with an
+    /// error of KeyOwnership::acquire.
     void prepare(std::uint32_t shard, ReadyCallback callback);
 
-    /// Whether no run of an earlier owner can be unknown here.
+    /// Whether all runs that earlier owners granted are known here.
     bool isComplete(std::uint32_t shard) const;
 
-    /// Whether the shard was acquired and did not go to another owner.
-    bool isHeld(std::uint32_t shard) const;
+    /// Whether the shard was acquired and has not gone to another owner.
+    bool isAcquired(std::uint32_t shard) const;
 
-    /// Looks for agents that have come and gone.
+    /// Checks which agents have joined or left.
     void refresh();
 
     KeyOwnership &ownership()
@@ -66,7 +66,7 @@
         bool isAcquiring = false;
         std::uint64_t epoch = 0;
         std::vector<ReadyCallback> waiting;
-        /// None when there was no earlier owner.
+        /// Collects the runs that earlier owners granted. Null when the shard had no earlier owner.
         std::unique_ptr<ShardCollector> collector;
     };
 
@@ -74,7 +74,7 @@
     void collect(std::uint32_t shard, std::uint64_t epoch);
     void collectorChanged(std::uint32_t shard, std::uint64_t epoch);
     void answerWaiting(std::uint32_t shard, const absl::Status &status);
-    void lose(std::uint32_t shard);
+    void handleLoss(std::uint32_t shard);
 
     AgentPort &m_agents;
     TimerService &m_timers;
--- a/src/libradishswitch/requests/refusalproof.cpp
+++ b/src/libradishswitch/requests/refusalproof.cpp
@@ -13,7 +13,7 @@
 {
 }
 
-void RefusalProof::seek(std::uint32_t shard, ProvenCallback callback)
+void RefusalProof::obtain(std::uint32_t shard, ProvenCallback callback)
 {
     const auto isOver = std::make_shared<bool>(false);
     const auto once = [callback = std::move(callback), isOver](bool isProven) {
--- a/src/libradishswitch/requests/refusalproof.h
+++ b/src/libradishswitch/requests/refusalproof.h
@@ -10,21 +10,22 @@
 namespace RadishSwitch
 {
 
-/// The proof that lets a home say "not run" of a key: a read of the shard's record, begun after the refusal was
-/// decided, that still names this home.
+/// The proof that a home needs before it answers "not run" for an idempotency key: a read of the shard's ownership
+/// record that begins after the refusal was decided and still names this home.
 ///
-/// Without it a home that was deposed unaware says "not run" of a request that ran under its successor, and the caller
-/// orders a second time under a new key. The read is enough, because a successor grants nothing before its own write of
-/// the record.
+/// Without the proof, a home that was deposed without noticing would answer "not run" for a request that ran under its
+/// successor, and the caller would send the request again under a new key. The read is sufficient because a successor
+/// grants nothing before it has written the record.
 class RefusalProof
 {
 public:
     using ProvenCallback = std::function<void(bool isProven)>;
 
-    /// A store that does not answer within `limit` gives no proof; refusals are not held up for longer.
+    /// `limit` bounds how long a refusal waits for the proof. If the store does not answer within it, the refusal is
+    /// not proven.
     RefusalProof(KeyOwnership &ownership, TimerService &timers, Duration limit);
 
-    void seek(std::uint32_t shard, ProvenCallback callback);
+    void obtain(std::uint32_t shard, ProvenCallback callback);
 
 private:
     KeyOwnership &m_ownership;
--- a/src/libradishswitch/requests/requestregistry.cpp
+++ b/src/libradishswitch/requests/requestregistry.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// A failed run that cost something has had its one bill, so it can't run for another. A non-idempotent one that failed
-/// is Unknown, not Failed.
+/// A failed run that was charged has used the request's one bill, so the request cannot run again on another. A
+/// non-idempotent request that failed has the state Unknown, not Failed.
 bool mayRunAgain(const KnownRequest &known)
 {
     return known.state == RequestState::Failed && known.chargedTokens == 0;
@@ -31,7 +31,7 @@
     return RequestState::NotRun;
 }
 
-/// Of several attempts of one request, which one tells how it stands.
+/// How far an attempt progressed. Of several attempts of a request, the one with the highest rank determines its state.
 int rankOf(RequestState state)
 {
     switch (state) {
@@ -43,8 +43,8 @@
         return 3;
     case RequestState::Done:
         return 4;
-    case RequestState::Opening:
-    case RequestState::Admitted:
+    case RequestState::Pending:
+    case RequestState::Granted:
     case RequestState::NotRun:
         break;
     }
@@ -58,34 +58,34 @@
 {
 }
 
-RequestVerdict RequestRegistry::judge(const AdmitQuestion &question) const
+RequestVerdict RequestRegistry::check(const AdmissionQuery &query) const
 {
-    const KnownRequest *known = find(question.request);
+    const KnownRequest *known = find(query.request);
     if (!known) {
         return m_requests.size() < m_settings.maximum ? RequestVerdict::Admit : RequestVerdict::Full;
     }
-    if (known->fingerprint != question.fingerprint) {
-        return RequestVerdict::OtherBody;
+    if (known->fingerprint != query.fingerprint) {
+        return RequestVerdict::BodyMismatch;
     }
-    if (known->state == RequestState::Opening || known->state == RequestState::Admitted) {
+    if (known->state == RequestState::Pending || known->state == RequestState::Granted) {
         return RequestVerdict::Wait;
     }
     if (mayRunAgain(*known)) {
         return RequestVerdict::Admit;
     }
     const bool hasAnswer = known->state == RequestState::Dispatched || known->state == RequestState::Done;
-    return hasAnswer && !known->dispatches.empty() ? RequestVerdict::Attach : RequestVerdict::Spent;
+    return hasAnswer && !known->dispatches.empty() ? RequestVerdict::Attach : RequestVerdict::NotRepeatable;
 }
 
-void RequestRegistry::open(const AdmitQuestion &question, std::uint32_t shard, const AttemptId &attempt)
+void RequestRegistry::open(const AdmissionQuery &query, std::uint32_t shard, const AttemptId &attempt)
 {
     KnownRequest known;
-    known.fingerprint = question.fingerprint;
+    known.fingerprint = query.fingerprint;
     known.shard = shard;
-    known.isKeyed = question.isKeyed;
-    known.isNonIdempotent = question.isNonIdempotent;
+    known.isKeyed = query.isKeyed;
+    known.isNonIdempotent = query.isNonIdempotent;
     known.grantedAttempt = attempt;
-    m_requests.insert_or_assign(question.request, std::move(known));
+    m_requests.insert_or_assign(query.request, std::move(known));
 }
 
 KnownRequest *RequestRegistry::find(const RequestId &request)
@@ -120,7 +120,7 @@
     m_requests.erase(request);
 }
 
-void RequestRegistry::learn(const RunRecord &record, std::uint32_t shard, Instant now)
+void RequestRegistry::addReportedRun(const RunRecord &record, std::uint32_t shard, Instant now)
 {
     const RequestState state = stateOf(record);
     const KnownRequest *earlier = find(record.request);
@@ -133,7 +133,7 @@
     known.shard = shard;
     known.isKeyed = true;
     known.isNonIdempotent = record.isNonIdempotent;
-    known.isOwn = false;
+    known.isGrantedHere = false;
     known.grantedAttempt = record.attempt;
     known.dispatches = {{record.attempt, record.agentAddress}};
     known.portion = record.portion;
@@ -147,7 +147,7 @@
 {
     absl::erase_if(m_requests, [shard](const auto &item) {
         const KnownRequest &known = item.second;
-        return known.isKeyed && known.shard == shard && (known.hasEnded() || !known.isOwn);
+        return known.isKeyed && known.shard == shard && (known.hasEnded() || !known.isGrantedHere);
     });
 }
 
@@ -157,7 +157,7 @@
         const Expiry expiry = std::move(m_expiries.front());
         m_expiries.pop_front();
         const KnownRequest *known = find(expiry.request);
-        // One that runs again since then has no end or a later one.
+        // A request that has run again since then is still running or has a later expiry.
         if (known && known->hasEnded() && known->expiry <= now) {
             forget(expiry.request);
         }
--- a/src/libradishswitch/requests/requestregistry.h
+++ b/src/libradishswitch/requests/requestregistry.h
@@ -17,24 +17,24 @@
 {
 
 enum class RequestState {
-    /// Being admitted: nobody has leave to run it yet.
-    Opening,
-    /// Leave was given; where the run went is not known.
-    Admitted,
+    /// The request is being admitted; nobody may run it yet.
+    Pending,
+    /// The request was granted; the home does not know yet to which agent the run is sent.
+    Granted,
     Dispatched,
     Done,
-    /// Started and failed; idempotent.
+    /// The run started and failed. Only for idempotent requests.
     Failed,
-    /// Certainly not run; may run again. Not kept.
+    /// The request has certainly not run and may run again. This state is not stored.
     NotRun,
-    /// It may have run and may not be run again.
+    /// The request may have run and must not run again.
     Unknown,
 };
 
-/// Where an attempt was sent.
+/// An attempt, and the agent to which it was sent.
 struct Dispatch {
     AttemptId attempt;
-    /// Names one life of one agent: an agent started anew at the same address and port is another one.
+    /// Identifies one incarnation of an agent: an agent that restarts at the same address and port is another one.
     std::string agentAddress;
 
     bool operator==(const Dispatch &) const = default;
@@ -42,25 +42,25 @@
 
 /// What a home knows of one request.
 struct KnownRequest {
-    RequestState state = RequestState::Opening;
+    RequestState state = RequestState::Pending;
     std::string fingerprint;
     std::uint32_t shard = 0;
-    /// Under which it was granted here.
+    /// The epoch of the shard under which this home granted the request.
     std::uint64_t epoch = 0;
     bool isKeyed = false;
     bool isNonIdempotent = false;
-    /// Whether this home gave the leave. Otherwise it learned of the run from an agent, and whoever holds the portion
-    /// bills it.
-    bool isOwn = true;
-    /// Whether the leave was given while a run of an earlier owner could still turn up.
+    /// Whether this home granted the request. If not, an agent reported the run, and the holder of the portion bills
+    /// it.
+    bool isGrantedHere = true;
+    /// Whether the request was granted while a run of an earlier owner could still be reported.
     bool isProvisional = false;
     AttemptId grantedAttempt;
     Instant grantedAt;
-    /// In the order in which they were sent; the last holds the answer.
+    /// In the order in which the attempts were sent. The last one has the answer.
     std::vector<Dispatch> dispatches;
     PortionId portion;
     std::int64_t chargedTokens = 0;
-    /// When it is forgotten; set at its end.
+    /// When the request is forgotten; set when it ends.
     Instant expiry;
 
     bool hasEnded() const
@@ -72,58 +72,61 @@
 };
 
 struct RequestRegistrySettings {
-    /// How long the end of a request is remembered, for retries with the same key.
+    /// How long a request is remembered after its end, for retries with the same key.
     Duration retention = std::chrono::minutes(10);
-    /// Beyond this, new requests are refused; to forget an ended one early could run and bill its retry again.
+    /// The most requests that are remembered. Beyond it new requests are refused, because forgetting an ended request
+    /// early would let its retry run and be billed again.
     std::size_t maximum = 200000;
 
     bool operator==(const RequestRegistrySettings &) const = default;
 };
 
-/// What a home is to do with a request, going by what it knows of the id.
+/// What a home does with an admission query, based on what it knows of the request id.
 enum class RequestVerdict {
-    /// Never heard of, or certainly not run.
+    /// The request is unknown, or has certainly not run.
     Admit,
-    /// An earlier question of the same request is not decided yet.
+    /// An earlier query of the same request has not been decided yet.
     Wait,
-    /// Runs or has run; attach to the last dispatch.
+    /// The request is running or has run; the caller attaches to the last dispatch.
     Attach,
-    /// Same key, other body.
-    OtherBody,
-    /// It ran or may have run, and must not run again.
-    Spent,
-    /// No room for more.
+    /// The same key was used with another body.
+    BodyMismatch,
+    /// The request ran or may have run, and must not run again.
+    NotRepeatable,
+    /// The registry holds the maximum number of requests.
     Full,
 };
 
-/// The requests that a home has lately decided on, by id: the memory that lets a retry find the first run.
+/// The requests on which a home has recently decided, by id. With it a retry finds the first run.
 class RequestRegistry
 {
 public:
     explicit RequestRegistry(RequestRegistrySettings settings);
 
-    RequestVerdict judge(const AdmitQuestion &question) const;
+    RequestVerdict check(const AdmissionQuery &query) const;
 
-    /// Notes a request that is being admitted, over whatever was known of the id.
-    void open(const AdmitQuestion &question, std::uint32_t shard, const AttemptId &attempt);
+    /// Adds a request that is being admitted. Replaces what was known of the id.
+    void open(const AdmissionQuery &query, std::uint32_t shard, const AttemptId &attempt);
 
-    /// The request, or null. The pointer holds until the next change of the registry.
+    /// The request, or null. The pointer is valid until the next change of the registry.
     KnownRequest *find(const RequestId &request);
     const KnownRequest *find(const RequestId &request) const;
 
-    /// Ends a request: Done, Failed or Unknown are remembered for the retention (keyed) or forgotten (unkeyed).
+    /// Ends a request. A keyed request that ended as Done, Failed or Unknown is remembered for the retention. An
+    /// unkeyed request, or one that ended as NotRun, is forgotten at once.
     void end(const RequestId &request, RequestState state, std::int64_t chargedTokens, Instant now);
 
     void forget(const RequestId &request);
 
-    /// Forgets what has ended or was learned in a shard that went to another owner, who may have it run again.
+    /// Forgets the requests of a shard that went to another owner, if they have ended or were reported by agents: the
+    /// new owner may run them again.
     void forgetShard(std::uint32_t shard);
 
-    /// Takes in what an agent told of a run that this home did not grant. Of several attempts the one that got furthest
-    /// counts.
-    void learn(const RunRecord &record, std::uint32_t shard, Instant now);
+    /// Records a run that an agent reported and this home did not grant. Of several attempts, the one that progressed
+    /// furthest is kept.
+    void addReportedRun(const RunRecord &record, std::uint32_t shard, Instant now);
 
-    /// Forgets what has ended longer ago than the retention.
+    /// Forgets the requests whose retention has passed.
     void expire(Instant now);
 
     std::size_t size() const
--- a/src/libradishswitch/requests/runresolver.cpp
+++ b/src/libradishswitch/requests/runresolver.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// What one place says is outweighed by what another says: no answer by an answer, a proof that is lost by a proof of
-/// an answer.
+/// Combines the verdicts of two attempts: the one with more weight counts. A complete answer outweighs everything; an
+/// attempt that may have run and can no longer be traced outweighs one that failed or did not run.
 RunVerdict combined(const RunVerdict &a, const RunVerdict &b)
 {
     const auto weight = [](ResolvedEnd end) {
@@ -38,7 +38,7 @@
 }
 
 RunResolver::RunResolver(AgentPort &agents, TimerService &timers, RandomSource &random, RequestId request,
-                         std::vector<Dispatch> places, bool cancel, RunResolverSettings settings, Events events)
+                         std::vector<Dispatch> dispatches, bool cancel, RunResolverSettings settings, Events events)
     : m_agents(agents)
     , m_timers(timers)
     , m_random(random)
@@ -46,87 +46,89 @@
     , m_cancel(cancel)
     , m_events(std::move(events))
 {
-    for (Dispatch &place : places) {
-        m_places.push_back({std::move(place), Backoff(settings.firstBackoff, settings.lastBackoff)});
+    for (Dispatch &dispatch : dispatches) {
+        m_queries.push_back({std::move(dispatch), Backoff(settings.firstBackoff, settings.lastBackoff)});
     }
 }
 
 RunResolver::~RunResolver()
 {
-    for (const Place &place : m_places) {
-        m_timers.cancel(place.timer);
+    for (const AgentQuery &query : m_queries) {
+        m_timers.cancel(query.timer);
     }
 }
 
 void RunResolver::start()
 {
-    for (std::size_t n = 0; n < m_places.size(); ++n) {
-        ask(n);
+    for (std::size_t n = 0; n < m_queries.size(); ++n) {
+        sendQuery(n);
     }
 }
 
-void RunResolver::ask(std::size_t n)
+void RunResolver::sendQuery(std::size_t n)
 {
-    const Dispatch &dispatch = m_places[n].dispatch;
-    m_places[n].timer = 0;
-    // The entry that served the caller may be alive on the other side of a cut, and read the answer.
+    const Dispatch &dispatch = m_queries[n].dispatch;
+    m_queries[n].timer = 0;
+    // IfUnread, because the entry that served the caller may still be alive beyond a network partition and be reading
+    // the answer.
     const RunStop stop = m_cancel ? RunStop::IfUnread : RunStop::Never;
     m_agents.bar(dispatch.agentAddress, m_request, dispatch.attempt, stop, m_life.guard([this, n](const auto &record) {
-        finishAsking(n, record);
+        handleReply(n, record);
     }));
 }
 
-void RunResolver::finishAsking(std::size_t n, const absl::StatusOr<RunRecord> &record)
+void RunResolver::handleReply(std::size_t n, const absl::StatusOr<RunRecord> &record)
 {
     if (m_hasEnded) {
         return;
     }
     if (!record.ok()) {
-        if (m_agents.isGone(m_places[n].dispatch.agentAddress)) {
-            return settlePlace(n, {ResolvedEnd::Lost, 0});
+        if (m_agents.isGone(m_queries[n].dispatch.agentAddress)) {
+            return finishQuery(n, {ResolvedEnd::Lost, 0});
         }
-        askAgainLater(n);
-        if (!m_isStuck) {
-            m_isStuck = true;
-            m_events.stuck();
+        retryLater(n);
+        if (!m_hasUnreachableAgent) {
+            m_hasUnreachableAgent = true;
+            m_events.agentUnreachable();
         }
         return;
     }
     switch (record->state) {
     case RunState::Done:
-        return settlePlace(n, {ResolvedEnd::Done, record->chargedTokens});
+        return finishQuery(n, {ResolvedEnd::Done, record->chargedTokens});
     case RunState::Failed:
-        return settlePlace(n, {ResolvedEnd::Failed, record->chargedTokens});
+        return finishQuery(n, {ResolvedEnd::Failed, record->chargedTokens});
     case RunState::Barred:
-        return settlePlace(n, {ResolvedEnd::NotRun, 0});
+        return finishQuery(n, {ResolvedEnd::NotRun, 0});
     case RunState::Running:
     case RunState::Unknown:
-        return askAgainLater(n);
+        return retryLater(n);
     }
 }
 
-void RunResolver::askAgainLater(std::size_t n)
+void RunResolver::retryLater(std::size_t n)
 {
-    Place &place = m_places[n];
-    place.timer = m_timers.after(place.backoff.next(m_random), m_life.guard([this, n] {
-        ask(n);
+    AgentQuery &query = m_queries[n];
+    query.timer = m_timers.after(query.backoff.next(m_random), m_life.guard([this, n] {
+        sendQuery(n);
     }));
 }
 
-void RunResolver::settlePlace(std::size_t n, const RunVerdict &verdict)
+void RunResolver::finishQuery(std::size_t n, const RunVerdict &verdict)
 {
-    m_places[n].isSettled = true;
+    m_queries[n].isFinished = true;
     m_verdict = combined(m_verdict, verdict);
-    const bool isAllSettled = std::all_of(m_places.begin(), m_places.end(), [](const Place &place) {
-        return place.isSettled;
+    const bool isAllFinished = std::all_of(m_queries.begin(), m_queries.end(), [](const AgentQuery &query) {
+        return query.isFinished;
     });
-    // The attempts follow one another, so the one that gave the whole answer is the last.
-    if (isAllSettled || verdict.end == ResolvedEnd::Done) {
+    // The attempts were made one after another, so the attempt with the complete answer is the last and the others need
+    // not be asked.
+    if (isAllFinished || verdict.end == ResolvedEnd::Done) {
         m_hasEnded = true;
-        // The one that is told may destroy this resolver.
+        // The callback may destroy this resolver, so both values are copied first.
         const auto ended = m_events.ended;
-        const RunVerdict whole = m_verdict;
-        ended(whole);
+        const RunVerdict result = m_verdict;
+        ended(result);
     }
 }
 
--- a/src/libradishswitch/requests/runresolver.h
+++ b/src/libradishswitch/requests/runresolver.h
@@ -15,16 +15,16 @@
 {
 
 enum class ResolvedEnd {
-    /// Barred wherever it could have started: it did not run and never will.
+    /// Every attempt is barred: the request did not run and never will.
     NotRun,
     Done,
-    /// Started and failed.
+    /// The run started and failed.
     Failed,
-    /// An agent that may have run it is gone for good, and with it the proof.
+    /// An agent that may have run the request is gone for good, so what happened there can no longer be found out.
     Lost,
 };
 
-/// What became of a request whose entry is gone.
+/// How a request ended whose entry is gone.
 struct RunVerdict {
     ResolvedEnd end = ResolvedEnd::NotRun;
     std::int64_t chargedTokens = 0;
@@ -37,23 +37,23 @@
     Duration lastBackoff = std::chrono::seconds(10);
 };
 
-/// Finds out at the agents what became of one request.
+/// Asks the agents how one request ended.
 ///
-/// It bars each attempt where it was or may have been sent, so that one which has not started never will, and asks
-/// again with backoff while a run goes on or an agent cannot be asked.
+/// It bars each attempt at every agent to which the attempt was or may have been sent, so that an attempt that has not
+/// started never will. It asks again, with backoff, while a run has not ended or an agent cannot be reached.
 class RunResolver
 {
 public:
     struct Events {
-        /// Called once; nothing is asked after it.
+        /// Called once. The resolver sends no query after it.
         std::function<void(const RunVerdict &)> ended;
-        /// An agent could not be asked; callers should not wait for the end.
-        std::function<void()> stuck;
+        /// An agent cannot be reached. Callers should not wait for the end of the request.
+        std::function<void()> agentUnreachable;
     };
 
-    /// `cancel` stops a run that nobody will fetch. `places` must not be empty.
+    /// `cancel` stops a run whose answer nobody will fetch. `dispatches` must not be empty.
     RunResolver(AgentPort &agents, TimerService &timers, RandomSource &random, RequestId request,
-                std::vector<Dispatch> places, bool cancel, RunResolverSettings settings, Events events);
+                std::vector<Dispatch> dispatches, bool cancel, RunResolverSettings settings, Events events);
     ~RunResolver();
 
     RunResolver(const RunResolver &) = delete;
@@ -61,23 +61,23 @@
 
     void start();
 
-    bool isStuck() const
+    bool hasUnreachableAgent() const
     {
-        return m_isStuck;
+        return m_hasUnreachableAgent;
     }
 
 private:
-    struct Place {
+    struct AgentQuery {
         Dispatch dispatch;
         Backoff backoff;
-        bool isSettled = false;
+        bool isFinished = false;
         TimerId timer = 0;
     };
 
-    void ask(std::size_t n);
-    void finishAsking(std::size_t n, const absl::StatusOr<RunRecord> &record);
-    void askAgainLater(std::size_t n);
-    void settlePlace(std::size_t n, const RunVerdict &verdict);
+    void sendQuery(std::size_t n);
+    void handleReply(std::size_t n, const absl::StatusOr<RunRecord> &record);
+    void retryLater(std::size_t n);
+    void finishQuery(std::size_t n, const RunVerdict &verdict);
 
     AgentPort &m_agents;
     TimerService &m_timers;
@@ -85,11 +85,11 @@
     const RequestId m_request;
     const bool m_cancel;
     const Events m_events;
-    std::vector<Place> m_places;
-    /// What the places settled so far say together.
+    std::vector<AgentQuery> m_queries;
+    /// The combined verdict of the queries that have finished so far.
     RunVerdict m_verdict;
     bool m_hasEnded = false;
-    bool m_isStuck = false;
+    bool m_hasUnreachableAgent = false;
     LifeToken m_life;
 };
 
--- a/tests/core/requests/home_test.cpp
+++ b/tests/core/requests/home_test.cpp
@@ -18,68 +18,70 @@
 
 TEST_F(HomeTest, admit_free_reservesNothing)
 {
-    AdmitQuestion question = unkeyed("r");
-    question.worstCaseTokens = 0;
+    AdmissionQuery query = unkeyed("r");
+    query.worstCaseTokens = 0;
 
-    const Grant grant = ask(*first, question)->grant();
+    const Grant grant = ask(*first, query)->grant();
 
     EXPECT_TRUE(grant.portion.isEmpty());
-    first->home->settle(question.request, {});
+    first->home->settle(query.request, {});
     EXPECT_EQ(first->home->openRequests(), 0u);
-    EXPECT_TRUE(bills(*first, question).empty());
+    EXPECT_TRUE(bills(*first, query).empty());
 }
 
-TEST_F(HomeTest, settle_toldTwice_billsOnce)
+TEST_F(HomeTest, settle_twice_billsOnce)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
 
-    first->home->settle(question.request, {kUsed, false, false, grant.attempt});
-    first->home->settle(question.request, {kUsed, false, false, grant.attempt});
+    first->home->settle(query.request, {kUsed, false, false, grant.attempt});
+    first->home->settle(query.request, {kUsed, false, false, grant.attempt});
 
-    EXPECT_EQ(bills(*first, question), std::vector<std::int64_t>{kUsed});
+    EXPECT_EQ(bills(*first, query), std::vector<std::int64_t>{kUsed});
     EXPECT_EQ(first->reservations.free(), SmallFleet::kTokens - kUsed);
 }
 
 TEST_F(HomeTest, settle_notRun_freesAndMayRunAgain)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = ask(*first, question)->grant();
-    first->home->settle(question.request, {0, true, false, grant.attempt});
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = ask(*first, query)->grant();
+    first->home->settle(query.request, {0, true, false, grant.attempt});
     EXPECT_EQ(first->reservations.free(), SmallFleet::kTokens);
 
-    const Grant again = ask(*first, question)->grant();
+    const Grant again = ask(*first, query)->grant();
 
     EXPECT_NE(again.attempt, grant.attempt);
     EXPECT_EQ(first->reservations.reservedTwice(), 0);
 }
 
-// A settlement "not run" is sent twice because its receipt got lost. Between the two copies the caller's retry is
-// granted. The late copy names the earlier grant and must not free the reservation of the later one.
+// An entry sends the settlement "not run" twice because the confirmation of the first was lost. Between the two, the
+// caller's retry is granted. The second copy names the earlier grant and must not release the reservation of the later
+// one.
 TEST_F(HomeTest, settle_lateCopyOfEarlierGrant_leavesLaterGrant)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = ask(*first, question)->grant();
-    first->home->settle(question.request, {0, true, false, grant.attempt});
-    const Grant again = startRun(*first, question, "agent-1");
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = ask(*first, query)->grant();
+    first->home->settle(query.request, {0, true, false, grant.attempt});
+    const Grant again = startRun(*first, query, "agent-1");
 
-    first->home->settle(question.request, {0, true, false, grant.attempt});
-    first->home->abandon(question.request, grant.attempt);
-    first->home->settle(question.request, {kUsed, false, false, again.attempt});
+    first->home->settle(query.request, {0, true, false, grant.attempt});
+    first->home->abandon(query.request, grant.attempt);
+    first->home->settle(query.request, {kUsed, false, false, again.attempt});
 
-    EXPECT_EQ(bills(*first, question), std::vector<std::int64_t>{kUsed});
+    EXPECT_EQ(bills(*first, query), std::vector<std::int64_t>{kUsed});
 }
 
-// A caller retries at another entry at once; both questions are in flight together. The second waits for the first to
-// be dispatched and is then sent to the same run: one reservation, one run, one bill, two whole answers.
+// A caller retries at another entry at once, so both queries reach the home before the run is dispatched. The second
+// query waits for the dispatch and is then attached to the same run: one reservation, one run, one bill, and two
+// complete answers.
 TEST_F(HomeTest, admit_retryBeforeDispatch_waitsAndAttaches)
 {
-    const AdmitQuestion question = keyed("r");
-    const Asked one = ask(*first, question);
-    const Asked two = ask(*first, question);
+    const AdmissionQuery query = keyed("r");
+    const Asked one = ask(*first, query);
+    const Asked two = ask(*first, query);
     EXPECT_FALSE(two->isAnswered());
 
-    first->home->noteDispatched(question.request, one->grant().attempt, "agent-1");
+    first->home->noteDispatched(query.request, one->grant().attempt, "agent-1");
     fleet.settle();
 
     EXPECT_EQ(two->duplicate(), (DuplicateRun{"agent-1", one->grant().attempt, false}));
@@ -87,21 +89,21 @@
     EXPECT_EQ(first->reservations.reserved(), kWorstCase);
 }
 
-TEST_F(HomeTest, admit_retryAfterEnd_attachesToKeptAnswer)
+TEST_F(HomeTest, admit_retryAfterEnd_attachesToBufferedAnswer)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
-    first->home->settle(question.request, {kUsed, false, false, grant.attempt});
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
+    first->home->settle(query.request, {kUsed, false, false, grant.attempt});
 
-    const Asked retry = ask(*first, question);
+    const Asked retry = ask(*first, query);
 
     EXPECT_TRUE(retry->duplicate().isDone);
-    EXPECT_EQ(bills(*first, question), std::vector<std::int64_t>{kUsed});
+    EXPECT_EQ(bills(*first, query), std::vector<std::int64_t>{kUsed});
 }
 
 TEST_F(HomeTest, admit_retryWhileFirstIsRefused_isAdmittedOnItsOwn)
 {
-    AdmitQuestion large = keyed("r");
+    AdmissionQuery large = keyed("r");
     large.worstCaseTokens = SmallFleet::kTokens + 1;
     const Asked one = first->ask(large);
     const Asked two = first->ask(keyed("r"));
@@ -109,18 +111,19 @@
 
     EXPECT_EQ(one->failure(), FailureCode::BudgetExhausted);
     EXPECT_EQ(two->grant().reservedTokens, kWorstCase);
-    // The same key is about to run, so the first answer can't say that it does not.
+    // The second query with the same key has been granted, so the first answer cannot say that the request does not
+    // run.
     EXPECT_EQ(one->outcome(), RunOutcome::Unknown);
 }
 
-// The entry that got the first question never says where it sent the run. The retry is answered when its own caller
-// gives up, not later, and is not told that nothing ran.
-TEST_F(HomeTest, admit_waitingPastItsDeadline_isAnsweredThenAsUnknown)
+// The entry that sent the first query never reports where it sent the run. The retry that waits for it is answered at
+// its own caller's deadline, and is not told that nothing ran.
+TEST_F(HomeTest, admit_waiterReachesDeadline_outcomeIsUnknown)
 {
     ask(*first, keyed("r"));
-    AdmitQuestion question = keyed("r");
-    question.deadline = fleet.timers.now() + std::chrono::seconds(1);
-    const Asked retry = ask(*first, question);
+    AdmissionQuery query = keyed("r");
+    query.deadline = fleet.timers.now() + std::chrono::seconds(1);
+    const Asked retry = ask(*first, query);
 
     fleet.advance(std::chrono::seconds(1));
 
@@ -129,10 +132,10 @@
     EXPECT_EQ(retry->outcome(), RunOutcome::Unknown);
 }
 
-TEST_F(HomeTest, admit_keyWithOtherBody_isTypedError)
+TEST_F(HomeTest, admit_keyWithOtherBody_isRefused)
 {
     startRun(*first, keyed("r"), "agent-1");
-    AdmitQuestion other = keyed("r");
+    AdmissionQuery other = keyed("r");
     other.fingerprint = "another body";
 
     EXPECT_EQ(ask(*first, other)->failure(), FailureCode::KeyReusedForOtherBody);
@@ -140,9 +143,9 @@
 
 TEST_F(HomeTest, admit_endedLongerAgoThanRetention_runsAgain)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
-    first->home->settle(question.request, {kUsed, false, false, grant.attempt});
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
+    first->home->settle(query.request, {kUsed, false, false, grant.attempt});
 
     fleet.advance(RequestRegistrySettings().retention + std::chrono::seconds(2));
 
@@ -151,23 +154,23 @@
 
 TEST_F(HomeTest, admit_failedWithoutCharge_idempotentRunsAgain)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
-    first->home->settle(question.request, {0, false, true, grant.attempt});
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
+    first->home->settle(query.request, {0, false, true, grant.attempt});
 
-    EXPECT_NE(ask(*first, question)->grant().attempt, grant.attempt);
+    EXPECT_NE(ask(*first, query)->grant().attempt, grant.attempt);
 }
 
-// An order reached the service, which failed in the middle of it. Whether the blinds were ordered nobody knows, so
-// every retry is told so and none is sent.
+// A non-idempotent request reached the service, which failed while processing it. Nobody knows whether it took effect,
+// so every retry is answered with an unknown outcome and none is run.
 TEST_F(HomeTest, admit_failedNonIdempotent_neverRunsAgain)
 {
-    const AdmitQuestion question = order("r");
-    const Grant grant = startRun(*first, question, "agent-1");
-    first->home->settle(question.request, {0, false, true, grant.attempt});
+    const AdmissionQuery query = nonIdempotent("r");
+    const Grant grant = startRun(*first, query, "agent-1");
+    first->home->settle(query.request, {0, false, true, grant.attempt});
 
     for (int n = 0; n < 3; ++n) {
-        const Asked retry = ask(*first, question);
+        const Asked retry = ask(*first, query);
         EXPECT_EQ(retry->failure(), FailureCode::OutcomeUnknown);
         EXPECT_EQ(retry->outcome(), RunOutcome::Unknown);
         fleet.advance(std::chrono::minutes(11));
@@ -176,40 +179,40 @@
 
 TEST_F(HomeTest, admit_noBudget_saysNotRunWithProof)
 {
-    AdmitQuestion question = keyed("r");
-    question.worstCaseTokens = SmallFleet::kTokens + 1;
+    AdmissionQuery query = keyed("r");
+    query.worstCaseTokens = SmallFleet::kTokens + 1;
 
-    const Asked asked = ask(*first, question);
+    const Asked asked = ask(*first, query);
 
     EXPECT_EQ(asked->failure(), FailureCode::BudgetExhausted);
     EXPECT_EQ(asked->outcome(), RunOutcome::NotRun);
 }
 
-// The owner of a key was deposed without noticing; its successor ran the request. A retry that still reaches the old
-// owner finds no budget there. "Not run" would be false; before it says so the home reads the owner's record, and
-// learns better.
+// The owner of a key shard was deposed without noticing, and its successor ran the request. A retry at the former owner
+// is refused for lack of budget there. The answer "not run" would be false, so the home first reads the ownership
+// record and learns that it was deposed.
 TEST_F(HomeTest, admit_noBudgetAtDeposedHome_doesNotSayNotRun)
 {
     ASSERT_TRUE(ask(*first, keyed("other"))->isAnswered());
     setDead(*first, *second);
     startRun(*second, keyed("r"), "agent-1");
-    AdmitQuestion question = keyed("r");
-    question.worstCaseTokens = SmallFleet::kTokens + 1;
+    AdmissionQuery query = keyed("r");
+    query.worstCaseTokens = SmallFleet::kTokens + 1;
 
-    const Asked retry = ask(*first, question);
+    const Asked retry = ask(*first, query);
 
     EXPECT_EQ(retry->outcome(), RunOutcome::Unknown);
 }
 
-// As above, but the store does not answer at all. The refusal is not held back for the proof: it goes out after half a
-// second, without saying "not run".
+// The store does not answer the read that would prove "not run". The refusal waits for the proof only until the confirm
+// limit and is then sent with an unknown outcome.
 TEST_F(HomeTest, admit_noBudgetWhileStoreSilent_isAnsweredWithinTheLimit)
 {
     ask(*first, keyed("other"));
     fleet.store.setSilent(true);
-    AdmitQuestion question = keyed("r");
-    question.worstCaseTokens = SmallFleet::kTokens + 1;
-    const Asked asked = ask(*first, question);
+    AdmissionQuery query = keyed("r");
+    query.worstCaseTokens = SmallFleet::kTokens + 1;
+    const Asked asked = ask(*first, query);
 
     fleet.advance(HomeSettings().confirmLimit);
 
@@ -218,15 +221,15 @@
     EXPECT_EQ(asked->outcome(), RunOutcome::Unknown);
 }
 
-// The store is away. An order can't be claimed, so it is refused at once, with the time to come back. Whether an
-// earlier try of the same key ran under another owner can't be proved without the store either, so the answer does not
-// say "not run".
-TEST_F(HomeTest, admit_nonIdempotentWhileStoreAway_isRefusedAtOnce)
+// Without the store a non-idempotent request cannot be claimed, so it is refused at once with a time to retry. Without
+// the store the home cannot prove either that the key did not run under another owner, so the answer does not say "not
+// run".
+TEST_F(HomeTest, admit_nonIdempotentWhileStoreUnavailable_isRefusedAtOnce)
 {
     ask(*first, keyed("other"));
     fleet.store.setAway(true);
 
-    const Asked asked = ask(*first, order("r"));
+    const Asked asked = ask(*first, nonIdempotent("r"));
 
     ASSERT_TRUE(asked->isAnswered());
     EXPECT_EQ(asked->failure(), FailureCode::StoreUnavailable);
@@ -234,7 +237,7 @@
     EXPECT_EQ(first->reservations.free(), SmallFleet::kTokens - kWorstCase);
 }
 
-TEST_F(HomeTest, admit_idempotentWhileStoreAway_goesOnAtTheOwner)
+TEST_F(HomeTest, admit_idempotentWhileStoreUnavailable_isGrantedByOwner)
 {
     ask(*first, keyed("other"));
     fleet.store.setAway(true);
@@ -242,20 +245,20 @@
     EXPECT_EQ(ask(*first, keyed("r"))->grant().reservedTokens, kWorstCase);
 }
 
-// The write that claims an order has its effect, but its answer is lost. The home reads it back and the order runs,
-// once.
+// The write of a claim takes effect, but its answer is lost. The home reads the object again, finds its own claim, and
+// grants the request once.
 TEST_F(HomeTest, admit_answerOfClaimLost_runsOnce)
 {
     ask(*first, keyed("other"));
     fleet.store.loseAnswersOfNextWrites(1);
 
-    const Asked asked = ask(*first, order("r"));
+    const Asked asked = ask(*first, nonIdempotent("r"));
 
     EXPECT_EQ(asked->grant().reservedTokens, kWorstCase);
     EXPECT_EQ(first->reservations.reservedTwice(), 0);
 }
 
-TEST_F(HomeTest, admit_atAnotherEntryWhileOwnerLives_isSentToTheOwner)
+TEST_F(HomeTest, admit_atOtherEntryWhileOwnerAlive_isRedirectedToOwner)
 {
     ask(*first, keyed("r"));
 
@@ -265,9 +268,9 @@
     EXPECT_EQ(second->home->ownerOf(second->home->shardOf(keyed("r").budget))->address, "first:1");
 }
 
-// Two regions are apart. A retry reaches the side on which the key's owner is not. A run may be in progress on the
-// other side, so the caller is told at once that the outcome is unknown, and when to come back.
-TEST_F(HomeTest, admit_ownerBeyondPartition_isUnknownAtOnceWithTimeToComeBack)
+// Two regions are partitioned, and a retry reaches the side without the key's owner. The request may be running on the
+// other side, so the caller is told at once that the outcome is unknown and when to retry.
+TEST_F(HomeTest, admit_ownerBeyondPartition_outcomeIsUnknownWithRetryAfter)
 {
     startRun(*first, keyed("r"), "agent-1");
     second->directory.setLiveness(IncarnationId("first"), EntryLiveness::Unreachable);
@@ -293,10 +296,10 @@
     EXPECT_EQ(two->failure(), FailureCode::Overloaded);
 }
 
-TEST_F(HomeTest, stop_withOpenRequest_handsOverAtOnceAndWaitsForTheEnd)
+TEST_F(HomeTest, stop_withOpenRequest_handsOverAtOnceAndWaitsForItsEnd)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
     bool isStopped = false;
     first->home->stop([&] {
         isStopped = true;
@@ -305,12 +308,12 @@
     EXPECT_FALSE(isStopped);
     EXPECT_EQ(ask(*first, keyed("new"))->failure(), FailureCode::Draining);
 
-    // The successor finds the run at the agent; the old home still takes the bill.
-    EXPECT_EQ(ask(*second, question)->duplicate().attempt, grant.attempt);
-    first->home->settle(question.request, {kUsed, false, false, grant.attempt});
+    // The successor finds the run at the agent; the stopping home still bills it.
+    EXPECT_EQ(ask(*second, query)->duplicate().attempt, grant.attempt);
+    first->home->settle(query.request, {kUsed, false, false, grant.attempt});
     fleet.settle();
 
     EXPECT_TRUE(isStopped);
-    EXPECT_EQ(bills(*first, question), std::vector<std::int64_t>{kUsed});
-    EXPECT_TRUE(bills(*second, question).empty());
+    EXPECT_EQ(bills(*first, query), std::vector<std::int64_t>{kUsed});
+    EXPECT_TRUE(bills(*second, query).empty());
 }
--- a/tests/core/requests/homeabandon_test.cpp
+++ b/tests/core/requests/homeabandon_test.cpp
@@ -6,15 +6,16 @@
 {
 };
 
-// The entry that serves a caller is killed after the home reserved for its request and before it sent the run. The
-// home bars the granted attempt at every agent, and only then frees the tokens; the caller's retry runs.
+// The entry that serves a caller is killed after the home reserved tokens for the request and before the run was sent.
+// The home must bar the granted attempt at every agent before it releases the tokens; then the caller's retry is
+// granted.
 TEST_F(HomeAbandonTest, abandon_betweenReserveAndDispatch_barsEverywhereAndFrees)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = ask(*first, question)->grant();
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = ask(*first, query)->grant();
 
-    first->home->abandon(question.request, grant.attempt);
-    const Asked retry = first->ask(question);
+    first->home->abandon(query.request, grant.attempt);
+    const Asked retry = first->ask(query);
     EXPECT_EQ(first->reservations.reserved(), kWorstCase);
     fleet.settle();
 
@@ -23,96 +24,96 @@
     EXPECT_EQ(first->reservations.reservedTwice(), 0);
 }
 
-// As above, but the run was on its way when the entry died: it comes to the agent after it was barred there. The agent
-// refuses it, so "not run" and the freed tokens stay true.
+// The run was already on its way when its entry died, and reaches the agent after the attempt was barred there. The
+// agent must refuse it, so that "not run" and the released tokens stay true.
 TEST_F(HomeAbandonTest, abandon_lateMessageOfBarredAttempt_isRefusedAtAgent)
 {
-    const AdmitQuestion question = order("r");
-    const Grant grant = ask(*first, question)->grant();
-    first->home->abandon(question.request, grant.attempt);
+    const AdmissionQuery query = nonIdempotent("r");
+    const Grant grant = ask(*first, query)->grant();
+    first->home->abandon(query.request, grant.attempt);
     fleet.settle();
 
     for (const std::string agent : {"agent-1", "agent-2"}) {
-        EXPECT_EQ(failureCode(fleet.start(question, grant, agent).status()), FailureCode::AttemptBarred);
+        EXPECT_EQ(failureCode(fleet.start(query, grant, agent).status()), FailureCode::AttemptBarred);
     }
 
-    const Grant again = startRun(*first, question, "agent-1");
+    const Grant again = startRun(*first, query, "agent-1");
     EXPECT_NE(again.attempt, grant.attempt);
 }
 
-// The entry dies while the answer streams. The run goes on at the agent; the home asks until it is done and bills it.
-// A retry is sent to the agent meanwhile and gets the whole answer.
-TEST_F(HomeAbandonTest, abandon_inMidStream_pollsUntilDoneAndBillsOnce)
+// The entry dies while the answer is streamed, and the run goes on at the agent. The home polls the agent until the run
+// is done and bills it. Meanwhile a retry is attached to the run and gets the complete answer.
+TEST_F(HomeAbandonTest, abandon_midStream_pollsUntilDoneAndBillsOnce)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
-    first->home->abandon(question.request, grant.attempt);
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
+    first->home->abandon(query.request, grant.attempt);
     fleet.advance(std::chrono::seconds(20));
-    EXPECT_EQ(ask(*first, question)->duplicate().agentAddress, "agent-1");
+    EXPECT_EQ(ask(*first, query)->duplicate().agentAddress, "agent-1");
     EXPECT_EQ(first->reservations.reserved(), kWorstCase);
 
     finishRun(grant, "agent-1");
     fleet.advance(std::chrono::seconds(11));
 
-    EXPECT_EQ(bills(*first, question), std::vector<std::int64_t>{kUsed});
-    EXPECT_TRUE(ask(*first, question)->duplicate().isDone);
+    EXPECT_EQ(bills(*first, query), std::vector<std::int64_t>{kUsed});
+    EXPECT_TRUE(ask(*first, query)->duplicate().isDone);
 }
 
-// The caller has its whole answer, but the entry dies before it told the home. The agent knows what was charged.
+// The caller has its complete answer, but the entry dies before it settled with the home. The home bills what the agent
+// charged.
 TEST_F(HomeAbandonTest, abandon_betweenAnswerAndSettlement_billsWhatTheAgentCharged)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
     finishRun(grant, "agent-1");
 
-    first->home->abandon(question.request, grant.attempt);
+    first->home->abandon(query.request, grant.attempt);
     fleet.settle();
 
-    EXPECT_EQ(bills(*first, question), std::vector<std::int64_t>{kUsed});
+    EXPECT_EQ(bills(*first, query), std::vector<std::int64_t>{kUsed});
     EXPECT_EQ(first->reservations.reserved(), 0);
 }
 
 TEST_F(HomeAbandonTest, abandon_dispatchedButNeverArrived_freesAndMayRunAgain)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = ask(*first, question)->grant();
-    first->home->noteDispatched(question.request, grant.attempt, "agent-1");
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = ask(*first, query)->grant();
+    first->home->noteDispatched(query.request, grant.attempt, "agent-1");
 
-    first->home->abandon(question.request, grant.attempt);
+    first->home->abandon(query.request, grant.attempt);
     fleet.settle();
 
     EXPECT_EQ(first->reservations.free(), SmallFleet::kTokens);
-    EXPECT_NE(ask(*first, question)->grant().attempt, grant.attempt);
+    EXPECT_NE(ask(*first, query)->grant().attempt, grant.attempt);
 }
 
 TEST_F(HomeAbandonTest, abandon_failedAtAgent_billsNothing)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
     fleet.agents.table("agent-1")->noteFailed(grant.attempt);
 
-    first->home->abandon(question.request, grant.attempt);
+    first->home->abandon(query.request, grant.attempt);
     fleet.settle();
 
-    EXPECT_TRUE(bills(*first, question).empty());
+    EXPECT_TRUE(bills(*first, query).empty());
     EXPECT_EQ(first->reservations.free(), SmallFleet::kTokens);
 }
 
-// The agent cannot be asked: the run may be in progress there. The reservation stays held, and a retry of an order
-// that was not dispatched for certain is told at once that the outcome is unknown. When the agent is back, the home
-// finds out.
-TEST_F(HomeAbandonTest, abandon_agentCutOff_holdsReservationAndAsksAgain)
+// An agent that may be running the request cannot be reached. The reservation is kept, and a retry is told at once that
+// the outcome is unknown. When the agent is reachable again, the home learns that the request did not run.
+TEST_F(HomeAbandonTest, abandon_agentUnreachable_keepsReservationAndRetries)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = ask(*first, question)->grant();
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = ask(*first, query)->grant();
     fleet.agents.setCut("first", "agent-2", true);
-    first->home->abandon(question.request, grant.attempt);
-    const Asked waiting = first->ask(question);
+    first->home->abandon(query.request, grant.attempt);
+    const Asked waiting = first->ask(query);
     fleet.settle();
 
     EXPECT_EQ(waiting->failure(), FailureCode::OutcomeUnknown);
     EXPECT_TRUE(retryAfterOf(waiting->answer->status()).has_value());
-    EXPECT_EQ(ask(*first, question)->failure(), FailureCode::OutcomeUnknown);
+    EXPECT_EQ(ask(*first, query)->failure(), FailureCode::OutcomeUnknown);
     fleet.advance(std::chrono::minutes(5));
     EXPECT_EQ(first->reservations.reserved(), kWorstCase);
 
@@ -120,17 +121,17 @@
     fleet.advance(std::chrono::seconds(11));
 
     EXPECT_EQ(first->reservations.free(), SmallFleet::kTokens);
-    EXPECT_EQ(ask(*first, question)->grant().reservedTokens, kWorstCase);
+    EXPECT_EQ(ask(*first, query)->grant().reservedTokens, kWorstCase);
 }
 
-// Entry and agent die together, as when a rack goes. Whether the run used tokens nobody can prove any more: they are
-// withheld, neither billed nor free. The idempotent retry runs on a reservation of its own.
+// The entry and the agent die together, for example with their rack. Nobody can find out whether the run used tokens,
+// so they are withheld: neither billed nor released. The idempotent retry runs on a new reservation.
 TEST_F(HomeAbandonTest, abandon_agentDeadToo_withholdsAndIdempotentRunsAgain)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
     fleet.agents.kill("agent-1");
-    first->home->abandon(question.request, grant.attempt);
+    first->home->abandon(query.request, grant.attempt);
     fleet.advance(std::chrono::seconds(5));
     EXPECT_EQ(first->reservations.reserved(), kWorstCase);
 
@@ -138,67 +139,69 @@
     fleet.advance(std::chrono::seconds(11));
 
     EXPECT_EQ(first->reservations.withheld(), kWorstCase);
-    const Grant again = startRun(*first, question, "agent-2");
-    first->home->settle(question.request, {kUsed, false, false, again.attempt});
-    EXPECT_EQ(bills(*first, question), std::vector<std::int64_t>{kUsed});
+    const Grant again = startRun(*first, query, "agent-2");
+    first->home->settle(query.request, {kUsed, false, false, again.attempt});
+    EXPECT_EQ(bills(*first, query), std::vector<std::int64_t>{kUsed});
 }
 
-TEST_F(HomeAbandonTest, abandon_agentDeadToo_orderIsNeverRepeated)
+TEST_F(HomeAbandonTest, abandon_agentDeadToo_nonIdempotentNeverRunsAgain)
 {
-    const AdmitQuestion question = order("r");
-    const Grant grant = startRun(*first, question, "agent-1");
+    const AdmissionQuery query = nonIdempotent("r");
+    const Grant grant = startRun(*first, query, "agent-1");
     fleet.agents.kill("agent-1");
     fleet.agents.unlist("agent-1");
-    first->home->abandon(question.request, grant.attempt);
+    first->home->abandon(query.request, grant.attempt);
     fleet.settle();
 
     for (int n = 0; n < 3; ++n) {
-        EXPECT_EQ(ask(*first, question)->failure(), FailureCode::OutcomeUnknown);
+        EXPECT_EQ(ask(*first, query)->failure(), FailureCode::OutcomeUnknown);
         fleet.advance(std::chrono::minutes(11));
     }
 }
 
-// The entry was resumed at a second agent when the first failed, and dies then. The answer of the second counts.
-TEST_F(HomeAbandonTest, abandon_afterSecondAttempt_billsTheOneThatAnswered)
+// The first attempt failed and the entry continued the request at a second agent, then died. The attempt that answered
+// is billed.
+TEST_F(HomeAbandonTest, abandon_afterSecondAttempt_billsAttemptThatAnswered)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
     fleet.agents.table("agent-1")->noteFailed(grant.attempt);
     Grant second = grant;
     second.attempt = AttemptId("another");
-    first->home->noteDispatched(question.request, second.attempt, "agent-2");
-    ASSERT_TRUE(fleet.start(question, second, "agent-2").ok());
+    first->home->noteDispatched(query.request, second.attempt, "agent-2");
+    ASSERT_TRUE(fleet.start(query, second, "agent-2").ok());
     finishRun(second, "agent-2");
 
-    first->home->abandon(question.request, grant.attempt);
+    first->home->abandon(query.request, grant.attempt);
     fleet.settle();
 
-    EXPECT_EQ(bills(*first, question), std::vector<std::int64_t>{kUsed});
-    EXPECT_EQ(ask(*first, question)->duplicate().agentAddress, "agent-2");
+    EXPECT_EQ(bills(*first, query), std::vector<std::int64_t>{kUsed});
+    EXPECT_EQ(ask(*first, query)->duplicate().agentAddress, "agent-2");
 }
 
-// The stream between entry and home broke, not the entry. The home has begun to ask around when the entry's
-// settlement comes on a new stream: it counts, and nothing is billed a second time by what the agent tells.
-TEST_F(HomeAbandonTest, abandon_thenSettledAfterAll_billsOnce)
+// The stream between the entry and the home broke, but the entry is alive. The home has begun to query the agents when
+// the entry's settlement arrives on a new stream. The settlement counts, and the agents' answers must not bill the
+// request again.
+TEST_F(HomeAbandonTest, abandon_settledAfterwards_billsOnce)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = startRun(*first, question, "agent-1");
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = startRun(*first, query, "agent-1");
     finishRun(grant, "agent-1");
-    first->home->abandon(question.request, grant.attempt);
-    first->home->settle(question.request, {kUsed, false, false, grant.attempt});
+    first->home->abandon(query.request, grant.attempt);
+    first->home->settle(query.request, {kUsed, false, false, grant.attempt});
     fleet.advance(std::chrono::seconds(1));
 
-    EXPECT_EQ(bills(*first, question), std::vector<std::int64_t>{kUsed});
+    EXPECT_EQ(bills(*first, query), std::vector<std::int64_t>{kUsed});
 }
 
-TEST_F(HomeAbandonTest, abandon_whileReserving_freesWhenItComes)
+TEST_F(HomeAbandonTest, abandon_whileReserving_releasesReservation)
 {
-    const AdmitQuestion question = order("r");
-    const Asked asked = first->ask(question);
+    const AdmissionQuery query = nonIdempotent("r");
+    const Asked asked = first->ask(query);
     while (first->home->openRequests() == 0) {
         ASSERT_TRUE(fleet.tasks.runOne());
     }
-    first->home->abandon(question.request);
+    first->home->abandon(query.request);
     fleet.settle();
 
     EXPECT_EQ(first->reservations.free(), SmallFleet::kTokens);
@@ -206,51 +209,53 @@
     EXPECT_FALSE(asked->isAnswered());
 }
 
-// The entry sends an order to an agent, and dies before the home heard where. The agent is gone as well when the home
-// looks for the run. It finds it at none of the others, which proves nothing: the order may have been placed.
-TEST_F(HomeAbandonTest, abandon_agentGoneSinceTheGrant_isNotTakenForNotRun)
+// The entry sends a non-idempotent request to an agent and dies before it told the home which agent. That agent is gone
+// as well when the home searches for the run. The other agents have no trace of it, which does not prove that it did
+// not run.
+TEST_F(HomeAbandonTest, abandon_agentGoneSinceGrant_outcomeIsUnknown)
 {
-    const AdmitQuestion question = order("r");
-    const Grant grant = ask(*first, question)->grant();
-    ASSERT_TRUE(fleet.start(question, grant, "agent-1").ok());
+    const AdmissionQuery query = nonIdempotent("r");
+    const Grant grant = ask(*first, query)->grant();
+    ASSERT_TRUE(fleet.start(query, grant, "agent-1").ok());
     fleet.agents.kill("agent-1");
     fleet.agents.unlist("agent-1");
 
-    first->home->abandon(question.request, grant.attempt);
+    first->home->abandon(query.request, grant.attempt);
     fleet.advance(std::chrono::seconds(1));
 
-    EXPECT_EQ(ask(*first, question)->failure(), FailureCode::OutcomeUnknown);
+    EXPECT_EQ(ask(*first, query)->failure(), FailureCode::OutcomeUnknown);
     EXPECT_EQ(first->reservations.withheld(), kWorstCase);
 }
 
-// The stream of an earlier grant breaks late, when the caller's retry holds the grant. The retry's attempt must not be
-// barred by that.
+// The stream of an earlier grant breaks after the caller's retry was granted. This must not bar the attempt of the
+// retry.
 TEST_F(HomeAbandonTest, abandon_ofEarlierGrant_leavesLaterGrant)
 {
-    const AdmitQuestion question = keyed("r");
-    const Grant grant = ask(*first, question)->grant();
-    first->home->settle(question.request, {0, true, false, grant.attempt});
-    const Grant again = ask(*first, question)->grant();
+    const AdmissionQuery query = keyed("r");
+    const Grant grant = ask(*first, query)->grant();
+    first->home->settle(query.request, {0, true, false, grant.attempt});
+    const Grant again = ask(*first, query)->grant();
 
-    first->home->abandon(question.request, grant.attempt);
+    first->home->abandon(query.request, grant.attempt);
     fleet.settle();
 
-    EXPECT_TRUE(fleet.start(question, again, "agent-1").ok());
+    EXPECT_TRUE(fleet.start(query, again, "agent-1").ok());
     EXPECT_EQ(first->reservations.reserved(), kWorstCase);
 }
 
-// An agent that had died before the request was granted cannot have got it, although its address is remembered still.
-TEST_F(HomeAbandonTest, abandon_agentDeadBeforeTheGrant_isNoDoubt)
+// An agent that died before the request was granted cannot have received it. It must not make the outcome unknown
+// although its address is still remembered.
+TEST_F(HomeAbandonTest, abandon_agentDeadBeforeGrant_releasesReservation)
 {
     fleet.agents.kill("agent-2");
     fleet.agents.setGone("agent-2");
     fleet.advance(std::chrono::seconds(2));
-    const AdmitQuestion question = order("r");
-    const Grant grant = ask(*first, question)->grant();
+    const AdmissionQuery query = nonIdempotent("r");
+    const Grant grant = ask(*first, query)->grant();
 
-    first->home->abandon(question.request, grant.attempt);
+    first->home->abandon(query.request, grant.attempt);
     fleet.settle();
 
     EXPECT_EQ(first->reservations.free(), SmallFleet::kTokens);
-    EXPECT_EQ(ask(*first, question)->grant().reservedTokens, kWorstCase);
+    EXPECT_EQ(ask(*first, query)->grant().reservedTokens, kWorstCase);
 }
--- a/tests/core/requests/homefixture.h
+++ b/tests/core/requests/homefixture.h
@@ -7,11 +7,11 @@
 #include <memory>
 #include <string>
 
-/// Two entries over two agents; the first owns the key shard as soon as it is asked.
+/// Two entries and two agents. The first entry that is asked becomes the owner of the key shard.
 class HomeFixture : public testing::Test
 {
 protected:
-    using AdmitQuestion = RadishSwitch::AdmitQuestion;
+    using AdmissionQuery = RadishSwitch::AdmissionQuery;
     using FailureCode = RadishSwitch::FailureCode;
     using Grant = RadishSwitch::Grant;
     using RequestId = RadishSwitch::RequestId;
@@ -27,45 +27,45 @@
         second = fleet.makeEntry("second");
     }
 
-    AdmitQuestion keyed(const std::string &key) const
+    AdmissionQuery keyed(const std::string &key) const
     {
-        AdmitQuestion question;
-        question.request = RequestId(key);
-        question.budget = {RadishSwitch::OrganisationId("magnolia"), "saturday"};
-        question.worstCaseTokens = kWorstCase;
-        question.fingerprint = "body of " + key;
-        question.isKeyed = true;
-        question.deadline = fleet.timers.now() + std::chrono::seconds(30);
-        return question;
+        AdmissionQuery query;
+        query.request = RequestId(key);
+        query.budget = {RadishSwitch::OrganisationId("magnolia"), "saturday"};
+        query.worstCaseTokens = kWorstCase;
+        query.fingerprint = "body of " + key;
+        query.isKeyed = true;
+        query.deadline = fleet.timers.now() + std::chrono::seconds(30);
+        return query;
     }
 
-    AdmitQuestion order(const std::string &key) const
+    AdmissionQuery nonIdempotent(const std::string &key) const
     {
-        AdmitQuestion question = keyed(key);
-        question.isNonIdempotent = true;
-        return question;
+        AdmissionQuery query = keyed(key);
+        query.isNonIdempotent = true;
+        return query;
     }
 
-    AdmitQuestion unkeyed(const std::string &id) const
+    AdmissionQuery unkeyed(const std::string &id) const
     {
-        AdmitQuestion question = keyed(id);
-        question.isKeyed = false;
-        return question;
+        AdmissionQuery query = keyed(id);
+        query.isKeyed = false;
+        return query;
     }
 
-    Asked ask(SmallEntry &entry, const AdmitQuestion &question)
+    Asked ask(SmallEntry &entry, const AdmissionQuery &query)
     {
-        const Asked asked = entry.ask(question);
+        const Asked asked = entry.ask(query);
         fleet.settle();
         return asked;
     }
 
-    /// Admits, notes and starts a request; its run goes on at the agent.
-    Grant startRun(SmallEntry &home, const AdmitQuestion &question, const std::string &agent)
+    /// Admits a request, reports its dispatch and starts it at the agent, where it keeps running.
+    Grant startRun(SmallEntry &home, const AdmissionQuery &query, const std::string &agent)
     {
-        const Grant grant = ask(home, question)->grant();
-        home.home->noteDispatched(question.request, grant.attempt, agent);
-        EXPECT_TRUE(fleet.start(question, grant, agent).ok());
+        const Grant grant = ask(home, query)->grant();
+        home.home->noteDispatched(query.request, grant.attempt, agent);
+        EXPECT_TRUE(fleet.start(query, grant, agent).ok());
         fleet.settle();
         return grant;
     }
@@ -75,7 +75,7 @@
         fleet.agents.table(agent)->noteDone(grant.attempt, kUsed);
     }
 
-    /// The entry is killed: everything that it knew is gone.
+    /// Kills an entry: its home and all of its state are gone, and the observer considers it dead.
     void kill(std::unique_ptr<SmallEntry> &entry, SmallEntry &observer)
     {
         setDead(*entry, observer);
@@ -87,12 +87,12 @@
         observer.directory.setLiveness(RadishSwitch::IncarnationId(entry.name), RadishSwitch::EntryLiveness::Dead);
     }
 
-    static std::vector<std::int64_t> bills(const SmallEntry &entry, const AdmitQuestion &question)
+    static std::vector<std::int64_t> bills(const SmallEntry &entry, const AdmissionQuery &query)
     {
-        return entry.reservations.billsOf(question.request);
+        return entry.reservations.billsOf(query.request);
     }
 
-    /// What agents charged to a portion, as its closing after the holder's death finds it.
+    /// The tokens that the agents charged to a grant's portion, as found by closing the portion after its holder died.
     std::int64_t chargedAtAgents(const Grant &grant)
     {
         std::int64_t sum = 0;
--- a/tests/core/requests/keyownership_test.cpp
+++ b/tests/core/requests/keyownership_test.cpp
@@ -29,7 +29,7 @@
         std::vector<std::uint32_t> lost;
     };
 
-    /// An entry that hears nothing of the store's changes, unless it watches.
+    /// An entry that receives changes of the store only if it watches.
     std::unique_ptr<Entry> makeEntry(const std::string &name, bool isWatching = false)
     {
         KeyOwnershipSettings settings;
@@ -86,7 +86,7 @@
     EXPECT_EQ(m_first->ownership->epochOf(kShard), 1u);
 }
 
-TEST_F(KeyOwnershipTest, acquire_livingOwner_pointsToItWithoutClaimingAnythingOfTheRequest)
+TEST_F(KeyOwnershipTest, acquire_ownerAlive_isRedirectedWithUnknownOutcome)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
 
@@ -97,7 +97,7 @@
     EXPECT_EQ(m_second->ownership->ownerOf(kShard)->address, "first:1");
 }
 
-TEST_F(KeyOwnershipTest, acquire_unreachableOwner_isUnknownWithTimeToComeBack)
+TEST_F(KeyOwnershipTest, acquire_ownerUnreachable_outcomeIsUnknownWithRetryAfter)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
     m_directory.setLiveness(IncarnationId("first"), EntryLiveness::Unreachable);
@@ -109,10 +109,10 @@
     EXPECT_TRUE(retryAfterOf(owner.status()).has_value());
 }
 
-// The owner is paused for minutes and taken for dead; another entry takes its shard over. When it goes on it still
-// believes to own the shard, until its next check reads the record. Nobody is hurt meanwhile, since its epoch is
-// refused at the agents; the check is what makes it stop asking them.
-TEST_F(KeyOwnershipTest, check_takenOverWhilePaused_findsOutAndTellsOnce)
+// The owner is paused for minutes and considered dead, and another entry takes over its shard. When the first owner
+// resumes, it believes that it owns the shard until its next check reads the record. This is safe because agents refuse
+// its epoch; the check ends its useless grants.
+TEST_F(KeyOwnershipTest, check_takenOverWhilePaused_reportsLossOnce)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
     setDead("first");
@@ -127,8 +127,9 @@
     EXPECT_EQ(m_second->ownership->epochOf(kShard), 2u);
 }
 
-// An agent refuses a run as of a stale epoch before the owner's next check: it looks at once.
-TEST_F(KeyOwnershipTest, staleEpochNoted_takenOver_findsOutAtOnce)
+// An agent refuses a run because of a stale epoch before the owner's next periodic check. The owner reads the record at
+// once.
+TEST_F(KeyOwnershipTest, noteStaleEpoch_shardTakenOver_detectsLossAtOnce)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
     setDead("first");
@@ -140,9 +141,9 @@
     EXPECT_EQ(m_first->ownership->epochOf(kShard), std::nullopt);
 }
 
-// The write that takes a shard over has its effect, but its answer is lost. The taker reads the record back, finds
-// its own incarnation there, and owns the shard under the epoch that it wrote, not under a second one.
-TEST_F(KeyOwnershipTest, acquire_answerOfWriteLost_readsBackAndOwns)
+// The write that takes over a shard takes effect, but its answer is lost. The entry reads the record, finds its own
+// incarnation, and owns the shard under the epoch that it wrote. It must not write a second epoch.
+TEST_F(KeyOwnershipTest, acquire_answerOfWriteLost_readsRecordAndOwns)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
     setDead("first");
@@ -155,9 +156,9 @@
     EXPECT_EQ(m_store.writes(), 2);
 }
 
-// Two entries see the owner dead at the same moment and both write. The store lets one through; the other reads again
-// and is sent to the winner.
-TEST_F(KeyOwnershipTest, acquire_twoAtOnce_oneOwnsAndTheOtherIsSentThere)
+// Two entries find the owner dead at the same time and both write. The store accepts one write; the other entry reads
+// the record again and is refused with the winner as the owner.
+TEST_F(KeyOwnershipTest, acquire_twoAtOnce_oneOwnsAndOtherIsRefused)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
     setDead("first");
@@ -175,8 +176,8 @@
     EXPECT_NE(m_second->ownership->epochOf(kShard).has_value(), third->ownership->epochOf(kShard).has_value());
 }
 
-// The store is away for an hour. Whoever owned a shard before goes on owning it: nobody can have taken it.
-TEST_F(KeyOwnershipTest, check_storeAway_ownerStaysOwner)
+// The store is unavailable for an hour. An owner keeps its shard, because nobody can have taken it over.
+TEST_F(KeyOwnershipTest, check_storeUnavailable_ownerStaysOwner)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
     m_store.setAway(true);
@@ -196,9 +197,9 @@
     EXPECT_TRUE(confirm(*m_first).ok());
 }
 
-// A read that is under way when a second refusal asks for proof began too early for it: the second gets its own read,
-// and all that come meanwhile share that one.
-TEST_F(KeyOwnershipTest, confirm_whileReadUnderWay_waitsForOneLaterRead)
+// A read that is in progress when a second refusal needs its proof began too early to prove it. The second refusal
+// waits for a new read, which it shares with all that arrive meanwhile.
+TEST_F(KeyOwnershipTest, confirm_duringRead_waitsForOneLaterRead)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
     const int before = m_store.calls();
@@ -214,7 +215,7 @@
     EXPECT_EQ(m_store.calls() - before, 2);
 }
 
-TEST_F(KeyOwnershipTest, handOver_plannedStop_nextTakesAtOnceWithLaterEpoch)
+TEST_F(KeyOwnershipTest, handOver_plannedShutdown_nextOwnerGetsNextEpoch)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
     bool isDone = false;
@@ -231,7 +232,7 @@
     EXPECT_EQ(m_first->ownership->epochOf(kShard), std::nullopt);
 }
 
-TEST_F(KeyOwnershipTest, watch_shardTakenOver_findsOutWithoutAsking)
+TEST_F(KeyOwnershipTest, watch_shardTakenOver_reportsLossWithoutRead)
 {
     const auto watcher = makeEntry("watcher", true);
     m_tasks.runAll();
@@ -244,9 +245,9 @@
     EXPECT_EQ(watcher->ownership->ownerOf(kShard)->address, "second:1");
 }
 
-// Two regions are apart, and thousands of requests a second reach entries that cannot ask the owner. Who owns the shard
-// is known from the watch: none of these requests goes to the store.
-TEST_F(KeyOwnershipTest, acquire_ownerKnownFromWatch_asksNoStore)
+// Two regions are partitioned, and thousands of requests per second reach entries that cannot reach the shard's owner.
+// The owner is known from the watch, so these requests must not cause calls to the store.
+TEST_F(KeyOwnershipTest, acquire_ownerKnownFromWatch_makesNoStoreCall)
 {
     ASSERT_TRUE(acquire(*m_first).ok());
     const auto watcher = makeEntry("watcher", true);
@@ -261,9 +262,9 @@
     EXPECT_EQ(m_store.calls(), before);
 }
 
-// The store is away when the entry starts, and for an hour. It asks again with growing pauses and hears of the owners
-// when the store is back.
-TEST_F(KeyOwnershipTest, watch_storeAwayForAnHour_asksSeldomAndRecovers)
+// The store is unavailable when the entry starts, and for an hour after. The entry retries with backoff and learns the
+// owners when the store is available again.
+TEST_F(KeyOwnershipTest, watch_storeUnavailableForAnHour_backsOffAndRecovers)
 {
     constexpr int kSeconds = 3600;
     constexpr int kCalls = 600;
@@ -275,7 +276,7 @@
         m_timers.advance(std::chrono::seconds(1));
         m_tasks.runAll();
     }
-    // The first owner looks after its record meanwhile, twice a minute.
+    // The first owner also reads its own record twice a minute during that time.
     EXPECT_LT(m_store.calls() - before, kCalls + kSeconds / 30);
 
     m_store.setAway(false);
@@ -286,7 +287,8 @@
     EXPECT_EQ(watcher->ownership->ownerOf(kShard)->address, "first:1");
 }
 
-// The connection on which a watch waits has gone silent for good. The entry does not wait for ever: it lists again.
+// The connection of a watch stops delivering changes without failing. The entry must not wait for it for ever, but list
+// the owners again.
 TEST_F(KeyOwnershipTest, watch_silentForGood_isReplaced)
 {
     const auto watcher = makeEntry("watcher", true);
--- a/tests/core/requests/requestregistry_test.cpp
+++ b/tests/core/requests/requestregistry_test.cpp
@@ -19,43 +19,43 @@
         return record;
     }
 
-    RequestVerdict judge() const
+    RequestVerdict check() const
     {
-        AdmitQuestion question;
-        question.request = RequestId("r");
-        question.fingerprint = "body";
-        question.isKeyed = true;
-        return m_registry.judge(question);
+        AdmissionQuery query;
+        query.request = RequestId("r");
+        query.fingerprint = "body";
+        query.isKeyed = true;
+        return m_registry.check(query);
     }
 
     RequestRegistry m_registry{RequestRegistrySettings{}};
 };
 
-// A run failed at one agent and was resumed at another. The new owner hears of both, in either order, and sends retries
-// to the one that got furthest.
-TEST_F(RequestRegistryTest, learn_severalAttempts_theFurthestCounts)
+// A run failed at one agent and was continued at another. The new owner receives reports of both attempts in any order,
+// and must send retries to the attempt that progressed furthest.
+TEST_F(RequestRegistryTest, addReportedRun_severalAttempts_mostAdvancedIsKept)
 {
-    m_registry.learn(record("a", RunState::Failed, 0), 1, Instant());
-    EXPECT_EQ(judge(), RequestVerdict::Admit);
-    m_registry.learn(record("b", RunState::Done, 60), 1, Instant());
-    m_registry.learn(record("c", RunState::Running, 0), 1, Instant());
+    m_registry.addReportedRun(record("a", RunState::Failed, 0), 1, Instant());
+    EXPECT_EQ(check(), RequestVerdict::Admit);
+    m_registry.addReportedRun(record("b", RunState::Done, 60), 1, Instant());
+    m_registry.addReportedRun(record("c", RunState::Running, 0), 1, Instant());
 
-    EXPECT_EQ(judge(), RequestVerdict::Attach);
+    EXPECT_EQ(check(), RequestVerdict::Attach);
     EXPECT_EQ(m_registry.find(RequestId("r"))->dispatches.back().agentAddress, "agent of b");
 }
 
-TEST_F(RequestRegistryTest, learn_orderThatFailed_isSpent)
+TEST_F(RequestRegistryTest, addReportedRun_nonIdempotentFailed_isNotRepeatable)
 {
     RunRecord failed = record("a", RunState::Failed, 0);
     failed.isNonIdempotent = true;
-    m_registry.learn(failed, 1, Instant());
+    m_registry.addReportedRun(failed, 1, Instant());
 
-    EXPECT_EQ(judge(), RequestVerdict::Spent);
+    EXPECT_EQ(check(), RequestVerdict::NotRepeatable);
 }
 
-TEST_F(RequestRegistryTest, learn_barred_isNothing)
+TEST_F(RequestRegistryTest, addReportedRun_barred_isIgnored)
 {
-    m_registry.learn(record("a", RunState::Barred, 0), 1, Instant());
+    m_registry.addReportedRun(record("a", RunState::Barred, 0), 1, Instant());
 
     EXPECT_EQ(m_registry.size(), 0u);
 }
@@ -63,13 +63,13 @@
 TEST_F(RequestRegistryTest, expire_endedAndRunning_forgetsWhatEndedLongAgo)
 {
     const Duration retention = RequestRegistrySettings().retention;
-    m_registry.learn(record("a", RunState::Done, 60), 1, Instant());
+    m_registry.addReportedRun(record("a", RunState::Done, 60), 1, Instant());
     m_registry.expire(Instant(retention - Duration(1)));
     EXPECT_EQ(m_registry.size(), 1u);
     m_registry.expire(Instant(retention));
     EXPECT_EQ(m_registry.size(), 0u);
 
-    m_registry.learn(record("b", RunState::Running, 0), 1, Instant());
+    m_registry.addReportedRun(record("b", RunState::Running, 0), 1, Instant());
     m_registry.expire(Instant(retention * 10));
     EXPECT_EQ(m_registry.size(), 1u);
 }
--- a/tests/core/requests/requestsearch_test.cpp
+++ b/tests/core/requests/requestsearch_test.cpp
@@ -1,4 +1,4 @@
-#include "requestworld.h"
+#include "requestsimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -22,134 +22,136 @@
     FaultLimits limits;
 };
 
-/// States that one case explores here; the environment can ask for more.
+/// The number of states that each case explores. The environment variable RADISHSWITCH_SEARCH_STATES overrides the
+/// default.
 std::size_t stateLimit()
 {
-    constexpr std::size_t kInTests = 4000;
+    constexpr std::size_t kDefaultLimit = 4000;
     const char *text = std::getenv("RADISHSWITCH_SEARCH_STATES");
-    return text ? std::strtoul(text, nullptr, 10) : kInTests;
+    return text ? std::strtoul(text, nullptr, 10) : kDefaultLimit;
 }
 
-AdmitQuestion question(const std::string &name, bool isNonIdempotent)
+AdmissionQuery query(const std::string &name, bool isNonIdempotent)
 {
-    AdmitQuestion question;
-    question.request = RequestId(name);
-    question.budget = {OrganisationId("magnolia"), "saturday"};
-    question.worstCaseTokens = 100;
-    question.fingerprint = "body of " + name;
-    question.isKeyed = true;
-    question.isNonIdempotent = isNonIdempotent;
-    question.deadline = Instant(std::chrono::seconds(60));
-    return question;
+    AdmissionQuery query;
+    query.request = RequestId(name);
+    query.budget = {OrganisationId("magnolia"), "saturday"};
+    query.worstCaseTokens = 100;
+    query.fingerprint = "body of " + name;
+    query.isKeyed = true;
+    query.isNonIdempotent = isNonIdempotent;
+    query.deadline = Instant(std::chrono::seconds(60));
+    return query;
 }
 
 }
 
-/// Every order of messages, losses, late copies and deaths of a small case, shortest first, over the real homes and run
-/// tables. A state is reached again by repeating its steps, so nothing but the steps is kept.
+/// Explores sequences of messages, losses, duplicated messages and deaths of a small case, shortest first, with the
+/// real homes and run tables. A state is reached again by repeating its steps, so only the steps are stored.
 class RequestSearchTest : public testing::Test
 {
 protected:
-    void search(const SearchCase &searched)
+    void search(const SearchCase &searchCase)
     {
         std::unordered_set<std::size_t> seen;
-        std::deque<Steps> open{{}};
+        std::deque<Steps> queue{{}};
         std::size_t explored = 0;
         std::size_t depth = 0;
-        while (!open.empty() && explored < stateLimit()) {
-            const Steps steps = std::move(open.front());
-            open.pop_front();
-            RequestWorld world(searched.calls, searched.limits);
+        while (!queue.empty() && explored < stateLimit()) {
+            const Steps steps = std::move(queue.front());
+            queue.pop_front();
+            RequestSimulation simulation(searchCase.calls, searchCase.limits);
             for (const std::string &step : steps) {
-                world.take(step);
+                simulation.apply(step);
             }
-            if (!seen.insert(std::hash<std::string>()(world.digest())).second) {
+            if (!seen.insert(std::hash<std::string>()(simulation.digest())).second) {
                 continue;
             }
             ++explored;
             depth = steps.size();
-            for (const std::string &step : world.steps()) {
-                open.push_back(steps);
-                open.back().push_back(step);
+            for (const std::string &step : simulation.steps()) {
+                queue.push_back(steps);
+                queue.back().push_back(step);
             }
-            // What was run or billed stays so: at rest, every promise broken on the way still shows.
-            const auto broken = world.brokenPromiseAtRest();
-            ASSERT_FALSE(broken) << *broken << ":\n" << world.story();
+            // Runs and bills are never undone, so an invariant that was violated on the way is still violated at rest.
+            const auto violation = simulation.violationAtRest();
+            ASSERT_FALSE(violation) << *violation << ":\n" << simulation.trace();
         }
-        std::cout << searched.name << ": " << explored << " states to depth " << depth
-                  << (open.empty() ? ", all there are" : "") << "\n";
+        std::cout << searchCase.name << ": " << explored << " states to depth " << depth
+                  << (queue.empty() ? ", exhausted" : "") << "\n";
     }
 
-    /// Far beyond the depth of the search: long ways drawn at random, the same on every run.
-    void walk(const SearchCase &walked)
+    /// Takes long sequences of random steps, far beyond the depth of the search. The seed is fixed, so each run takes
+    /// the same sequences.
+    void walk(const SearchCase &searchCase)
     {
         constexpr std::size_t kStatesPerWalk = 10;
-        constexpr std::size_t kLongest = 80;
+        constexpr std::size_t kMaximumSteps = 80;
         const std::size_t walks = stateLimit() / kStatesPerWalk;
         SeededRandom random;
-        std::size_t taken = 0;
+        std::size_t stepsTaken = 0;
         for (std::size_t n = 0; n < walks; ++n) {
-            RequestWorld world(walked.calls, walked.limits);
+            RequestSimulation simulation(searchCase.calls, searchCase.limits);
             Steps steps;
-            while (steps.size() < kLongest) {
-                const Steps possible = world.steps();
+            while (steps.size() < kMaximumSteps) {
+                const Steps possible = simulation.steps();
                 if (possible.empty()) {
                     break;
                 }
                 steps.push_back(possible[random.below(possible.size())]);
-                world.take(steps.back());
+                simulation.apply(steps.back());
             }
-            taken += steps.size();
-            const auto broken = world.brokenPromiseAtRest();
-            ASSERT_FALSE(broken) << *broken << ":\n" << world.story();
+            stepsTaken += steps.size();
+            const auto violation = simulation.violationAtRest();
+            ASSERT_FALSE(violation) << *violation << ":\n" << simulation.trace();
         }
-        std::cout << walked.name << ": " << walks << " random ways, " << taken << " steps\n";
+        std::cout << searchCase.name << ": " << walks << " random walks, " << stepsTaken << " steps\n";
     }
 
-    /// Two requests, each tried at both entries, one of them an order.
+    /// Two requests, each called at both entries. One of them is non-idempotent.
     static std::vector<PlannedCall> twoRequests()
     {
-        return {{question("r", false), "first", "agent-1"},
-                {question("o", true), "second", "agent-2"},
-                {question("r", false), "second", "agent-2"},
-                {question("o", true), "first", "agent-1"}};
+        return {{query("r", false), "first", "agent-1"},
+                {query("o", true), "second", "agent-2"},
+                {query("r", false), "second", "agent-2"},
+                {query("o", true), "first", "agent-1"}};
     }
 };
 
-TEST_F(RequestSearchTest, idempotentRequest_retriedAtOtherEntry_keepsItsPromises)
+TEST_F(RequestSearchTest, idempotentRequest_retriedAtOtherEntry_keepsInvariants)
 {
     search({"retry, deaths",
-            {{question("r", false), "first", "agent-1"}, {question("r", false), "second", "agent-2"}},
-            {.entryDeaths = 1, .wrongDeaths = 1}});
+            {{query("r", false), "first", "agent-1"}, {query("r", false), "second", "agent-2"}},
+            {.entryDeaths = 1, .falseDeaths = 1}});
     search({"retry, losses",
-            {{question("r", false), "first", "agent-1"}, {question("r", false), "second", "agent-2"}},
+            {{query("r", false), "first", "agent-1"}, {query("r", false), "second", "agent-2"}},
             {.losses = 1, .copies = 1, .entryDeaths = 1}});
     search({"retry, agent dies",
-            {{question("r", false), "first", "agent-1"}, {question("r", false), "second", "agent-2"}},
+            {{query("r", false), "first", "agent-1"}, {query("r", false), "second", "agent-2"}},
             {.losses = 1, .entryDeaths = 1, .agentDeaths = 1}});
 }
 
 TEST_F(RequestSearchTest, nonIdempotentRequest_retriedAtOtherEntry_runsAtMostOnce)
 {
-    search({"order, deaths",
-            {{question("o", true), "first", "agent-1"}, {question("o", true), "second", "agent-2"}},
-            {.copies = 1, .entryDeaths = 1, .wrongDeaths = 1}});
-    search({"order, losses",
-            {{question("o", true), "first", "agent-1"}, {question("o", true), "second", "agent-2"}},
-            {.losses = 2, .wrongDeaths = 1, .lostStoreAnswers = 1, .timers = 1}});
+    search({"non-idempotent, deaths",
+            {{query("o", true), "first", "agent-1"}, {query("o", true), "second", "agent-2"}},
+            {.copies = 1, .entryDeaths = 1, .falseDeaths = 1}});
+    search({"non-idempotent, losses",
+            {{query("o", true), "first", "agent-1"}, {query("o", true), "second", "agent-2"}},
+            {.losses = 2, .falseDeaths = 1, .lostStoreAnswers = 1, .timers = 1}});
 }
 
-TEST_F(RequestSearchTest, twoRequests_retriedAmongDeathsAndLosses_keepTheirPromises)
+TEST_F(RequestSearchTest, twoRequests_retriedAmongDeathsAndLosses_keepInvariants)
 {
     search(
-        {"two requests", twoRequests(), {.losses = 1, .copies = 1, .entryDeaths = 1, .wrongDeaths = 1, .timers = 1}});
+        {"two requests", twoRequests(), {.losses = 1, .copies = 1, .entryDeaths = 1, .falseDeaths = 1, .timers = 1}});
 }
 
-TEST_F(RequestSearchTest, twoRequests_alongRandomWays_keepTheirPromises)
+TEST_F(RequestSearchTest, twoRequests_onRandomWalks_keepInvariants)
 {
-    walk({"deaths", twoRequests(), {.losses = 1, .copies = 1, .entryDeaths = 1, .wrongDeaths = 1, .timers = 2}});
-    walk({"losses", twoRequests(), {.losses = 4, .copies = 2, .wrongDeaths = 2, .lostStoreAnswers = 1, .timers = 4}});
+    walk({"deaths", twoRequests(), {.losses = 1, .copies = 1, .entryDeaths = 1, .falseDeaths = 1, .timers = 2}});
+    walk({"losses", twoRequests(), {.losses = 4, .copies = 2, .falseDeaths = 2, .lostStoreAnswers = 1, .timers = 4}});
     walk({"agent dies",
           twoRequests(),
-          {.losses = 2, .copies = 1, .entryDeaths = 1, .agentDeaths = 1, .wrongDeaths = 1, .timers = 2}});
+          {.losses = 2, .copies = 1, .entryDeaths = 1, .agentDeaths = 1, .falseDeaths = 1, .timers = 2}});
 }
--- a/tests/core/requests/requestworld.cpp
+++ b/tests/core/requests/requestsimulation.cpp
@@ -1,4 +1,4 @@
-#include "requestworld.h"
+#include "requestsimulation.h"
 
 #include <algorithm>
 
@@ -7,8 +7,8 @@
 namespace
 {
 
-/// Longer than the deadlines of the calls and the longest pause between two tries.
-constexpr Duration kRest = std::chrono::minutes(2);
+/// Longer than the deadlines of the calls and the longest backoff.
+constexpr Duration kSettlingTime = std::chrono::minutes(2);
 
 HomeSettings settings()
 {
@@ -21,7 +21,7 @@
     return settings;
 }
 
-/// "verb object" in two.
+/// Splits a step's text "verb object" in two.
 struct Step {
     std::string verb;
     std::string object;
@@ -35,19 +35,19 @@
 
 }
 
-class RequestWorld::WatchedStore : public ObjectStore
+class RequestSimulation::RecordingStore : public ObjectStore
 {
 public:
-    WatchedStore(RequestWorld &world, std::string entry)
-        : m_world(world)
+    RecordingStore(RequestSimulation &simulation, std::string entry)
+        : m_simulation(simulation)
         , m_entry(std::move(entry))
     {
     }
 
     void get(const std::string &key, Callback<StoredObject> callback) override
     {
-        m_world.m_store.get(key, [this, key, callback](const absl::StatusOr<StoredObject> &object) {
-            m_world.note(m_entry, "read " + key + (object.ok() ? object->value : ""));
+        m_simulation.m_store.get(key, [this, key, callback](const absl::StatusOr<StoredObject> &object) {
+            m_simulation.recordEvent(m_entry, "read " + key + (object.ok() ? object->value : ""));
             callback(object);
         });
     }
@@ -55,34 +55,34 @@
     void put(const std::string &key, std::string value, std::uint64_t version,
              Callback<std::uint64_t> callback) override
     {
-        m_world.m_store.put(key, value, version, [this, key, value, callback](const auto &written) {
-            m_world.note(m_entry, "wrote " + key + std::string(written.status().message()));
+        m_simulation.m_store.put(key, value, version, [this, key, value, callback](const auto &written) {
+            m_simulation.recordEvent(m_entry, "wrote " + key + std::string(written.status().message()));
             callback(written);
         });
     }
 
     void remove(const std::string &key, std::uint64_t version, std::function<void(absl::Status)> callback) override
     {
-        m_world.m_store.remove(key, version, std::move(callback));
+        m_simulation.m_store.remove(key, version, std::move(callback));
     }
 
     void list(const std::string &prefix, Callback<StoreChanges> callback) override
     {
-        m_world.m_store.list(prefix, std::move(callback));
+        m_simulation.m_store.list(prefix, std::move(callback));
     }
 
     void watch(const std::string &prefix, std::uint64_t fromVersion, Callback<StoreChanges> callback) override
     {
-        m_world.m_store.watch(prefix, fromVersion, std::move(callback));
+        m_simulation.m_store.watch(prefix, fromVersion, std::move(callback));
     }
 
 private:
-    RequestWorld &m_world;
+    RequestSimulation &m_simulation;
     const std::string m_entry;
 };
 
-RequestWorld::RequestWorld(std::vector<PlannedCall> calls, FaultLimits limits)
-    : m_left(limits)
+RequestSimulation::RequestSimulation(std::vector<PlannedCall> calls, FaultLimits limits)
+    : m_remaining(limits)
     , m_limits(limits)
 {
     for (PlannedCall &call : calls) {
@@ -90,43 +90,43 @@
     }
     std::uint64_t seed = 0;
     for (const std::string name : {"first", "second"}) {
-        m_watchedStores[name] = std::make_unique<WatchedStore>(*this, name);
-        m_entries[name] = std::make_unique<SmallEntry>(name, m_timers, m_tasks, *m_watchedStores[name], m_agents, *this,
-                                                       settings(), SmallFleet::kTokens, ++seed);
+        m_recordingStores[name] = std::make_unique<RecordingStore>(*this, name);
+        m_entries[name] = std::make_unique<SmallEntry>(name, m_timers, m_tasks, *m_recordingStores[name], m_agents,
+                                                       *this, settings(), SmallFleet::kTokens, ++seed);
     }
 }
 
-RequestWorld::~RequestWorld() = default;
+RequestSimulation::~RequestSimulation() = default;
 
-std::string RequestWorld::otherEntry(const std::string &entry)
+std::string RequestSimulation::otherEntry(const std::string &entry)
 {
     return entry == "first" ? "second" : "first";
 }
 
-bool RequestWorld::isAlive(const std::string &name) const
+bool RequestSimulation::isAlive(const std::string &name) const
 {
     const auto it = m_entries.find(name);
     return it == m_entries.end() ? m_agents.isAlive(name) : it->second->home != nullptr;
 }
 
-void RequestWorld::note(const std::string &part, const std::string &what)
+void RequestSimulation::recordEvent(const std::string &part, const std::string &what)
 {
     m_histories[part] += what + " @" + std::to_string(m_timers.now().time_since_epoch().count()) + "\n";
 }
 
-void RequestWorld::carry(CarriedMessage message)
+void RequestSimulation::carry(CarriedMessage message)
 {
     const std::string label = message.from + "#" + std::to_string(++m_sent[message.from]);
-    m_held.push_back({label, std::move(message)});
+    m_pendingMessages.push_back({label, std::move(message)});
 }
 
-void RequestWorld::send(std::string from, std::string to, std::string text, std::function<void()> deliver,
-                        std::function<void()> lose)
+void RequestSimulation::send(std::string from, std::string to, std::string text, std::function<void()> deliver,
+                             std::function<void()> lose)
 {
     carry({std::move(from), std::move(to), std::move(text), std::move(deliver), std::move(lose)});
 }
 
-std::vector<std::string> RequestWorld::steps() const
+std::vector<std::string> RequestSimulation::steps() const
 {
     std::vector<std::string> steps;
     for (std::size_t n = 0; n < m_calls.size(); ++n) {
@@ -134,13 +134,13 @@
             steps.push_back("ask " + std::to_string(n));
         }
     }
-    for (const Held &held : m_held) {
-        steps.push_back("deliver " + held.label);
-        if (m_left.losses > 0 && held.message.lose) {
-            steps.push_back("lose " + held.label);
+    for (const PendingMessage &pending : m_pendingMessages) {
+        steps.push_back("deliver " + pending.label);
+        if (m_remaining.losses > 0 && pending.message.lose) {
+            steps.push_back("lose " + pending.label);
         }
-        if (m_left.copies > 0 && held.message.text == "run" && !held.isCopy) {
-            steps.push_back("copy " + held.label);
+        if (m_remaining.copies > 0 && pending.message.text == "run" && !pending.isCopy) {
+            steps.push_back("copy " + pending.label);
         }
     }
     for (const auto &[attempt, run] : m_running) {
@@ -153,103 +153,105 @@
             }
             continue;
         }
-        if (m_left.entryDeaths > 0) {
+        if (m_remaining.entryDeaths > 0) {
             steps.push_back("kill " + name);
         }
-        if (m_left.wrongDeaths > 0) {
+        if (m_remaining.falseDeaths > 0) {
             steps.push_back("doubt " + name);
         }
     }
     for (const std::string &address : m_agents.listed()) {
-        if (m_left.agentDeaths > 0) {
+        if (m_remaining.agentDeaths > 0) {
             steps.push_back("crash " + address);
         }
     }
-    if (m_left.timers > 0 && m_timers.pending() > 0) {
+    if (m_remaining.timers > 0 && m_timers.pending() > 0) {
         steps.push_back("time passes");
     }
-    if (m_left.lostStoreAnswers > 0) {
+    if (m_remaining.lostStoreAnswers > 0) {
         steps.push_back("store forgets");
     }
     return steps;
 }
 
-void RequestWorld::take(const std::string &text)
+void RequestSimulation::apply(const std::string &text)
 {
     const Step step(text);
-    m_story += text;
-    for (const Held &held : m_held) {
-        if (held.label == step.object) {
-            m_story += ": " + held.message.from + " to " + held.message.to + ": " + held.message.text;
+    m_trace += text;
+    for (const PendingMessage &pending : m_pendingMessages) {
+        if (pending.label == step.object) {
+            m_trace += ": " + pending.message.from + " to " + pending.message.to + ": " + pending.message.text;
         }
     }
-    m_story += "\n";
+    m_trace += "\n";
     if (step.verb == "ask") {
         const std::size_t n = std::stoul(step.object);
         m_calls[n].state = CallState::Open;
-        note(m_calls[n].plan.entry, text);
+        recordEvent(m_calls[n].plan.entry, text);
         ask(n, m_calls[n].plan.entry, 0);
     } else if (step.verb == "deliver") {
-        const Held held = takeHeld(step.object);
-        note(held.message.to, text);
-        if (isAlive(held.message.to)) {
-            held.message.deliver();
-        } else if (held.message.lose) {
-            held.message.lose();
+        const PendingMessage pending = takeMessage(step.object);
+        recordEvent(pending.message.to, text);
+        if (isAlive(pending.message.to)) {
+            pending.message.deliver();
+        } else if (pending.message.lose) {
+            pending.message.lose();
         }
     } else if (step.verb == "lose") {
-        --m_left.losses;
-        const Held held = takeHeld(step.object);
-        note(held.message.from, text);
-        note(held.message.to, text);
-        held.message.lose();
+        --m_remaining.losses;
+        const PendingMessage pending = takeMessage(step.object);
+        recordEvent(pending.message.from, text);
+        recordEvent(pending.message.to, text);
+        pending.message.lose();
     } else if (step.verb == "copy") {
-        --m_left.copies;
-        const auto it = std::find_if(m_held.begin(), m_held.end(), [&](const Held &held) {
-            return held.label == step.object;
-        });
-        note("network", text);
-        m_held.push_back({step.object + "'", it->message, true});
+        --m_remaining.copies;
+        const auto it =
+            std::find_if(m_pendingMessages.begin(), m_pendingMessages.end(), [&](const PendingMessage &pending) {
+                return pending.label == step.object;
+            });
+        recordEvent("network", text);
+        m_pendingMessages.push_back({step.object + "'", it->message, true});
     } else if (step.verb == "finish") {
         finishRun(AttemptId(step.object));
     } else if (step.verb == "kill") {
-        --m_left.entryDeaths;
+        --m_remaining.entryDeaths;
         killEntry(step.object);
     } else if (step.verb == "close") {
-        note("agents", text);
+        recordEvent("agents", text);
         closePortionOf(step.object);
     } else if (step.verb == "doubt") {
-        --m_left.wrongDeaths;
-        note(otherEntry(step.object), text);
+        --m_remaining.falseDeaths;
+        recordEvent(otherEntry(step.object), text);
         m_entries[otherEntry(step.object)]->directory.setLiveness(IncarnationId(step.object), EntryLiveness::Dead);
     } else if (step.verb == "crash") {
-        --m_left.agentDeaths;
+        --m_remaining.agentDeaths;
         killAgent(step.object);
     } else if (step.verb == "time") {
-        --m_left.timers;
+        --m_remaining.timers;
         m_timers.fireNext();
-        note("network", text);
+        recordEvent("network", text);
     } else if (step.verb == "store") {
-        --m_left.lostStoreAnswers;
-        note("store", text);
+        --m_remaining.lostStoreAnswers;
+        recordEvent("store", text);
         m_store.loseAnswersOfNextWrites(1);
     }
     m_tasks.runAll();
 }
 
-RequestWorld::Held RequestWorld::takeHeld(const std::string &label)
+RequestSimulation::PendingMessage RequestSimulation::takeMessage(const std::string &label)
 {
-    const auto it = std::find_if(m_held.begin(), m_held.end(), [&](const Held &held) {
-        return held.label == label;
-    });
-    Held held = std::move(*it);
-    m_held.erase(it);
-    return held;
+    const auto it =
+        std::find_if(m_pendingMessages.begin(), m_pendingMessages.end(), [&](const PendingMessage &pending) {
+            return pending.label == label;
+        });
+    PendingMessage pending = std::move(*it);
+    m_pendingMessages.erase(it);
+    return pending;
 }
 
-void RequestWorld::killEntry(const std::string &name)
+void RequestSimulation::killEntry(const std::string &name)
 {
-    note(name, "killed");
+    recordEvent(name, "killed");
     m_entries[name]->home.reset();
     m_entries[otherEntry(name)]->directory.setLiveness(IncarnationId(name), EntryLiveness::Dead);
     for (std::size_t n = 0; n < m_calls.size(); ++n) {
@@ -272,9 +274,9 @@
     }
 }
 
-void RequestWorld::killAgent(const std::string &address)
+void RequestSimulation::killAgent(const std::string &address)
 {
-    note(address, "killed");
+    recordEvent(address, "killed");
     m_agents.kill(address);
     m_agents.unlist(address);
     for (auto it = m_running.begin(); it != m_running.end();) {
@@ -294,7 +296,7 @@
     }
 }
 
-std::vector<PortionCharges::Charge> RequestWorld::closePortionOf(const std::string &entry)
+std::vector<PortionCharges::Charge> RequestSimulation::closePortionOf(const std::string &entry)
 {
     std::vector<PortionCharges::Charge> charges;
     m_withheldOfDead[entry] = 0;
@@ -307,7 +309,7 @@
     return charges;
 }
 
-int RequestWorld::billsOf(const RequestId &request)
+int RequestSimulation::billsOf(const RequestId &request)
 {
     std::ptrdiff_t bills = 0;
     for (const auto &[name, entry] : m_entries) {
@@ -321,14 +323,14 @@
     return static_cast<int>(bills);
 }
 
-std::optional<std::string> RequestWorld::brokenPromise()
+std::optional<std::string> RequestSimulation::violation()
 {
     for (const Call &call : m_calls) {
-        const AdmitQuestion &question = call.plan.question;
-        if (question.isNonIdempotent && m_starts[question.request] > 1) {
+        const AdmissionQuery &query = call.plan.query;
+        if (query.isNonIdempotent && m_starts[query.request] > 1) {
             return "a non-idempotent request ran twice";
         }
-        if (billsOf(question.request) > 1) {
+        if (billsOf(query.request) > 1) {
             return "a request was billed twice";
         }
     }
@@ -337,26 +339,26 @@
             return "a request reserved twice";
         }
     }
-    return m_broken;
+    return m_violation;
 }
 
-bool RequestWorld::isProofLost() const
+bool RequestSimulation::isEvidenceLost() const
 {
     const bool isWithheld = std::ranges::any_of(m_entries, [this](const auto &item) {
         const auto it = m_withheldOfDead.find(item.first);
         return item.second->reservations.withheld() > 0 || (it != m_withheldOfDead.end() && it->second > 0);
     });
-    return isWithheld || m_left.agentDeaths < m_limits.agentDeaths;
+    return isWithheld || m_remaining.agentDeaths < m_limits.agentDeaths;
 }
 
-std::optional<std::string> RequestWorld::brokenPromiseAtRest()
+std::optional<std::string> RequestSimulation::violationAtRest()
 {
-    const Instant end = m_timers.now() + kRest;
-    while (!m_held.empty() || !m_running.empty() || m_timers.now() < end) {
-        if (!m_held.empty()) {
-            take("deliver " + m_held.front().label);
+    const Instant end = m_timers.now() + kSettlingTime;
+    while (!m_pendingMessages.empty() || !m_running.empty() || m_timers.now() < end) {
+        if (!m_pendingMessages.empty()) {
+            apply("deliver " + m_pendingMessages.front().label);
         } else if (!m_running.empty()) {
-            take("finish " + m_running.begin()->first.value());
+            apply("finish " + m_running.begin()->first.value());
         } else {
             m_timers.fireNext();
             m_tasks.runAll();
@@ -366,7 +368,7 @@
         if (call.state == CallState::Open) {
             return "a call is stuck";
         }
-        if (call.state == CallState::Answered && billsOf(call.plan.question.request) == 0 && !isProofLost()) {
+        if (call.state == CallState::Answered && billsOf(call.plan.query.request) == 0 && !isEvidenceLost()) {
             return "an answered request was not billed";
         }
     }
@@ -375,15 +377,15 @@
             return "a reservation is stuck at " + name;
         }
     }
-    return brokenPromise();
+    return violation();
 }
 
-std::string RequestWorld::story() const
+std::string RequestSimulation::trace() const
 {
-    return m_story;
+    return m_trace;
 }
 
-std::string RequestWorld::digest() const
+std::string RequestSimulation::digest() const
 {
     std::string digest;
     for (const auto &[part, history] : m_histories) {
