--- a/tests/core/requests/requestworld.h
+++ b/tests/core/requests/requestsimulation.h
@@ -10,47 +10,48 @@
 #include <string>
 #include <vector>
 
-/// A caller's call of one request at one entry, which sends a granted run to this agent.
+/// A caller's call of one request at one entry. If the request is granted, the entry sends its run to this agent.
 struct PlannedCall {
-    RadishSwitch::AdmitQuestion question;
+    RadishSwitch::AdmissionQuery query;
     std::string entry;
     std::string agent;
 };
 
-/// What may go wrong, and how often, on one way through the world.
+/// How often each fault may occur in one sequence of steps.
 struct FaultLimits {
     int losses = 0;
     int copies = 0;
     int entryDeaths = 0;
     int agentDeaths = 0;
-    /// Entries that are taken for dead although they live.
-    int wrongDeaths = 0;
+    /// How often a living entry may be considered dead by the other one.
+    int falseDeaths = 0;
     int lostStoreAnswers = 0;
     int timers = 0;
 };
 
-/// Two entries with real homes, two agents with real run tables, and callers, one step at a time: every message waits
-/// until a step delivers, loses or copies it. What an entry does around its home is reduced to a few lines.
-class RequestWorld : public Courier
+/// Simulates two entries with real homes, two agents with real run tables, and callers, one step at a time. Each
+/// message waits until a step delivers, loses or duplicates it. The parts of an entry around its home are reduced to a
+/// few lines.
+class RequestSimulation : public Courier
 {
 public:
-    RequestWorld(std::vector<PlannedCall> calls, FaultLimits limits);
-    ~RequestWorld() override;
+    RequestSimulation(std::vector<PlannedCall> calls, FaultLimits limits);
+    ~RequestSimulation() override;
 
-    /// All steps that can be taken now.
+    /// All steps that are possible in the current state.
     std::vector<std::string> steps() const;
-    void take(const std::string &step);
+    void apply(const std::string &step);
 
-    /// A digest of all that happened to each part, in the order in which it happened to that part. Two ways to the same
-    /// digest lead to the same state: they differ in the order of steps that did not touch one another.
+    /// The history of each part, in the order of its events, and the contents of the store. Two sequences of steps with
+    /// the same digest lead to the same state: they differ only in the order of steps that do not affect each other.
     std::string digest() const;
 
-    /// Lets everything come to rest without further faults, closes the portions of dead entries, and gives the first
-    /// promise that is broken, or nothing.
-    std::optional<std::string> brokenPromiseAtRest();
+    /// Delivers all messages and lets time pass without further faults, closes the portions of dead entries, and
+    /// returns the first invariant that is violated, or nothing.
+    std::optional<std::string> violationAtRest();
 
-    /// What happened, step by step, the way to rest included.
-    std::string story() const;
+    /// All steps and messages in order, including those of violationAtRest().
+    std::string trace() const;
 
     void carry(CarriedMessage message) override;
 
@@ -65,12 +66,12 @@
     struct Call {
         PlannedCall plan;
         CallState state = CallState::NotAsked;
-        /// Whose home granted it.
+        /// The entry whose home granted the request. Empty until then.
         std::string home;
         RadishSwitch::Grant grant;
     };
 
-    struct Held {
+    struct PendingMessage {
         std::string label;
         CarriedMessage message;
         bool isCopy = false;
@@ -78,56 +79,57 @@
 
     struct Run {
         std::string agent;
-        /// Calls that read its answer.
+        /// Indices of the calls that read the run's answer.
         std::vector<std::size_t> readers;
     };
 
-    /// The store as one entry sees it: what it answers is part of what happened to the entry.
-    class WatchedStore;
+    /// The object store as one entry uses it. Records the store's answers in the entry's history.
+    class RecordingStore;
 
     static std::string otherEntry(const std::string &entry);
     bool isAlive(const std::string &name) const;
-    void note(const std::string &part, const std::string &what);
+    void recordEvent(const std::string &part, const std::string &what);
     void send(std::string from, std::string to, std::string text, std::function<void()> deliver,
               std::function<void()> lose);
-    Held takeHeld(const std::string &label);
+    PendingMessage takeMessage(const std::string &label);
 
     void ask(std::size_t n, const std::string &home, int hops);
-    void hear(std::size_t n, const std::string &home, int hops,
-              const absl::StatusOr<RadishSwitch::AdmitDecision> &decision);
+    void handleDecision(std::size_t n, const std::string &home, int hops,
+                        const absl::StatusOr<RadishSwitch::AdmitDecision> &decision);
     void startRun(std::size_t n);
     void attach(std::size_t n, const RadishSwitch::DuplicateRun &run);
     void finishRun(const RadishSwitch::AttemptId &attempt);
     void sendAnswer(std::size_t n, const std::string &agent, const RadishSwitch::AttemptId &attempt);
     void read(std::size_t n, const RadishSwitch::RunRecord &record);
-    void tellHome(std::size_t n, const std::string &text, std::function<void(RadishSwitch::Home &)> tell);
+    void sendToHome(std::size_t n, const std::string &text, std::function<void(RadishSwitch::Home &)> tell);
     void abandonAtHome(std::size_t n);
     void giveUp(std::size_t n);
     void refuse(std::size_t n, RadishSwitch::RunOutcome outcome);
     void killEntry(const std::string &name);
     void killAgent(const std::string &address);
 
-    std::optional<std::string> brokenPromise();
+    std::optional<std::string> violation();
     std::vector<RadishSwitch::PortionCharges::Charge> closePortionOf(const std::string &entry);
     int billsOf(const RadishSwitch::RequestId &request);
-    bool isProofLost() const;
+    bool isEvidenceLost() const;
 
     std::vector<Call> m_calls;
-    FaultLimits m_left;
+    FaultLimits m_remaining;
     const FaultLimits m_limits;
     VirtualTimerService m_timers;
     ManualTaskQueue m_tasks;
     MemoryObjectStore m_store{m_tasks};
     MemoryAgents m_agents{m_timers, {"agent-1", "agent-2"}};
-    std::map<std::string, std::unique_ptr<WatchedStore>> m_watchedStores;
+    std::map<std::string, std::unique_ptr<RecordingStore>> m_recordingStores;
     std::map<std::string, std::unique_ptr<SmallEntry>> m_entries;
-    std::vector<Held> m_held;
+    std::vector<PendingMessage> m_pendingMessages;
     std::map<std::string, int> m_sent;
     std::map<std::string, std::string> m_histories;
     std::map<RadishSwitch::AttemptId, Run> m_running;
     std::map<RadishSwitch::RequestId, int> m_starts;
-    /// By dead entry whose portion was closed: what agents charged to it and nobody can bill.
+    /// For each dead entry whose portion was closed: the provisional tokens that agents charged to it, which nobody
+    /// bills.
     std::map<std::string, std::int64_t> m_withheldOfDead;
-    std::string m_story;
-    std::optional<std::string> m_broken;
+    std::string m_trace;
+    std::optional<std::string> m_violation;
 };
--- a/tests/core/requests/requestworldcalls.cpp
+++ b/tests/core/requests/requestsimulationcalls.cpp
@@ -1,5 +1,5 @@
-// How an entry of the world serves a call, from the question to its home to the settlement.
-#include "requestworld.h"
+// How an entry of the simulation serves a call, from the query to its home to the settlement.
+#include "requestsimulation.h"
 
 using namespace RadishSwitch;
 
@@ -10,29 +10,30 @@
 
 }
 
-void RequestWorld::ask(std::size_t n, const std::string &home, int hops)
+void RequestSimulation::ask(std::size_t n, const std::string &home, int hops)
 {
-    m_entries[home]->home->admit(m_calls[n].plan.question, [this, n, home, hops](const auto &decision) {
+    m_entries[home]->home->admit(m_calls[n].plan.query, [this, n, home, hops](const auto &decision) {
         const std::string &entry = m_calls[n].plan.entry;
         if (home == entry) {
-            return hear(n, home, hops, decision);
+            return handleDecision(n, home, hops, decision);
         }
         const auto lost = [this, n, home, decision] {
             if (decision.ok() && std::holds_alternative<Grant>(*decision) && isAlive(home)) {
-                m_entries[home]->home->abandon(m_calls[n].plan.question.request, std::get<Grant>(*decision).attempt);
+                m_entries[home]->home->abandon(m_calls[n].plan.query.request, std::get<Grant>(*decision).attempt);
             }
             refuse(n, RunOutcome::Unknown);
         };
         send(
             home, entry, "decision",
             [this, n, home, hops, decision] {
-                hear(n, home, hops, decision);
+                handleDecision(n, home, hops, decision);
             },
             lost);
     });
 }
 
-void RequestWorld::hear(std::size_t n, const std::string &home, int hops, const absl::StatusOr<AdmitDecision> &decision)
+void RequestSimulation::handleDecision(std::size_t n, const std::string &home, int hops,
+                                       const absl::StatusOr<AdmitDecision> &decision)
 {
     Call &call = m_calls[n];
     if (!decision.ok()) {
@@ -61,10 +62,10 @@
     }
     call.home = home;
     call.grant = std::get<Grant>(*decision);
-    tellHome(n, "dispatched",
-             [request = call.plan.question.request, attempt = call.grant.attempt, agent = call.plan.agent](Home &home) {
-                 home.noteDispatched(request, attempt, agent);
-             });
+    sendToHome(n, "dispatched",
+               [request = call.plan.query.request, attempt = call.grant.attempt, agent = call.plan.agent](Home &home) {
+                   home.noteDispatched(request, attempt, agent);
+               });
     send(
         call.plan.entry, call.plan.agent, "run",
         [this, n] {
@@ -76,38 +77,38 @@
         });
 }
 
-void RequestWorld::startRun(std::size_t n)
+void RequestSimulation::startRun(std::size_t n)
 {
     const Call &call = m_calls[n];
-    const AdmitQuestion &question = call.plan.question;
+    const AdmissionQuery &query = call.plan.query;
     RunTable *table = m_agents.table(call.plan.agent);
     if (!table) {
         return;
     }
-    const auto decision = table->start({question.request, call.grant.attempt, call.grant.portion, call.grant.shard,
-                                        call.grant.epoch, call.grant.reservedTokens, question.fingerprint,
-                                        question.isNonIdempotent, call.grant.isProvisional});
+    const auto decision =
+        table->start({query.request, call.grant.attempt, call.grant.portion, call.grant.shard, call.grant.epoch,
+                      call.grant.reservedTokens, query.fingerprint, query.isNonIdempotent, call.grant.isProvisional});
     if (!decision.ok()) {
         return send(
             call.plan.agent, call.plan.entry, "refused",
             [this, n] {
-                tellHome(n, "settle",
-                         [request = m_calls[n].plan.question.request, attempt = m_calls[n].grant.attempt](Home &home) {
-                             home.settle(request, {0, true, false, attempt});
-                         });
+                sendToHome(n, "settle",
+                           [request = m_calls[n].plan.query.request, attempt = m_calls[n].grant.attempt](Home &home) {
+                               home.settle(request, {0, true, false, attempt});
+                           });
                 refuse(n, RunOutcome::Unknown);
             },
             nullptr);
     }
     if (decision->action == RunDecision::Action::Start) {
-        ++m_starts[question.request];
+        ++m_starts[query.request];
         m_running[call.grant.attempt] = {call.plan.agent, {n}};
         return;
     }
     attach(n, {call.plan.agent, decision->record.attempt, false});
 }
 
-void RequestWorld::attach(std::size_t n, const DuplicateRun &run)
+void RequestSimulation::attach(std::size_t n, const DuplicateRun &run)
 {
     const auto it = m_running.find(run.attempt);
     if (it != m_running.end()) {
@@ -115,7 +116,7 @@
         return;
     }
     if (RunTable *table = m_agents.table(run.agentAddress)) {
-        const RunRecord record = table->find(m_calls[n].plan.question.request, run.attempt);
+        const RunRecord record = table->find(m_calls[n].plan.query.request, run.attempt);
         send(
             run.agentAddress, m_calls[n].plan.entry, "answer",
             [this, n, record] {
@@ -125,19 +126,19 @@
     }
 }
 
-void RequestWorld::finishRun(const AttemptId &attempt)
+void RequestSimulation::finishRun(const AttemptId &attempt)
 {
     const Run run = m_running.extract(attempt).mapped();
-    note(run.agent, "finish " + attempt.value());
+    recordEvent(run.agent, "finish " + attempt.value());
     m_agents.table(run.agent)->noteDone(attempt, kUsed);
     for (const std::size_t n : run.readers) {
         sendAnswer(n, run.agent, attempt);
     }
 }
 
-void RequestWorld::sendAnswer(std::size_t n, const std::string &agent, const AttemptId &attempt)
+void RequestSimulation::sendAnswer(std::size_t n, const std::string &agent, const AttemptId &attempt)
 {
-    const RunRecord record = m_agents.table(agent)->find(m_calls[n].plan.question.request, attempt);
+    const RunRecord record = m_agents.table(agent)->find(m_calls[n].plan.query.request, attempt);
     send(
         agent, m_calls[n].plan.entry, "answer",
         [this, n, record] {
@@ -148,7 +149,7 @@
         });
 }
 
-void RequestWorld::read(std::size_t n, const RunRecord &record)
+void RequestSimulation::read(std::size_t n, const RunRecord &record)
 {
     Call &call = m_calls[n];
     if (call.state != CallState::Open) {
@@ -159,14 +160,15 @@
     }
     call.state = CallState::Answered;
     const bool isOwn = record.attempt == call.grant.attempt;
-    // The answer of another attempt is billed with that attempt; the own one was barred at the agent.
+    // The answer of another attempt is billed with that attempt. The call's own attempt was then barred at the agent,
+    // so it is settled as not run.
     const Settlement settlement{isOwn ? record.chargedTokens : 0, !isOwn, false, call.grant.attempt};
-    tellHome(n, "settle", [request = record.request, settlement](Home &home) {
+    sendToHome(n, "settle", [request = record.request, settlement](Home &home) {
         home.settle(request, settlement);
     });
 }
 
-void RequestWorld::tellHome(std::size_t n, const std::string &text, std::function<void(Home &)> tell)
+void RequestSimulation::sendToHome(std::size_t n, const std::string &text, std::function<void(Home &)> tell)
 {
     const Call &call = m_calls[n];
     if (call.home.empty()) {
@@ -180,39 +182,39 @@
     if (call.home == call.plan.entry) {
         return deliver();
     }
-    // When the stream breaks, the home takes the entry for gone.
+    // When the stream between entry and home breaks, the home treats the entry as gone.
     send(call.plan.entry, call.home, text, deliver, [this, n] {
         abandonAtHome(n);
     });
 }
 
-void RequestWorld::abandonAtHome(std::size_t n)
+void RequestSimulation::abandonAtHome(std::size_t n)
 {
     const Call &call = m_calls[n];
     if (!call.home.empty() && isAlive(call.home)) {
-        m_entries[call.home]->home->abandon(call.plan.question.request, call.grant.attempt);
+        m_entries[call.home]->home->abandon(call.plan.query.request, call.grant.attempt);
     }
 }
 
-/// The entry lost its agent and leaves the rest to the home.
-void RequestWorld::giveUp(std::size_t n)
+/// The entry lost its connection to the agent and lets the home find out how the run ended.
+void RequestSimulation::giveUp(std::size_t n)
 {
     if (m_calls[n].state == CallState::Open) {
-        tellHome(n, "abandon", [this, n](Home &) {
+        sendToHome(n, "abandon", [this, n](Home &) {
             abandonAtHome(n);
         });
         refuse(n, RunOutcome::Unknown);
     }
 }
 
-void RequestWorld::refuse(std::size_t n, RunOutcome outcome)
+void RequestSimulation::refuse(std::size_t n, RunOutcome outcome)
 {
     Call &call = m_calls[n];
     if (call.state != CallState::Open) {
         return;
     }
     call.state = CallState::Refused;
-    if (outcome == RunOutcome::NotRun && m_starts[call.plan.question.request] > 0) {
-        m_broken = "\"not run\" was said of a request that ran";
+    if (outcome == RunOutcome::NotRun && m_starts[call.plan.query.request] > 0) {
+        m_violation = "\"not run\" was reported for a request that ran";
     }
 }
--- a/tests/fakes/smallfleet.h
+++ b/tests/fakes/smallfleet.h
@@ -65,7 +65,7 @@
     {
     }
 
-    Asked ask(const RadishSwitch::AdmitQuestion &question)
+    Asked ask(const RadishSwitch::AdmissionQuery &question)
     {
         const auto asked = std::make_shared<AskedHome>();
         home->admit(question, [asked](const auto &decision) {
@@ -117,7 +117,7 @@
     }
 
     /// An entry sends the run that it was granted to an agent.
-    absl::StatusOr<RadishSwitch::RunDecision> start(const RadishSwitch::AdmitQuestion &question,
+    absl::StatusOr<RadishSwitch::RunDecision> start(const RadishSwitch::AdmissionQuery &question,
                                                     const RadishSwitch::Grant &grant, const std::string &agent)
     {
         RadishSwitch::RunStart start;
--- a/tests/golden/requestsession.cpp
+++ b/tests/golden/requestsession.cpp
@@ -76,9 +76,9 @@
     return text;
 }
 
-AdmitQuestion RequestSession::question(const std::string &key, bool isNonIdempotent) const
+AdmissionQuery RequestSession::question(const std::string &key, bool isNonIdempotent) const
 {
-    AdmitQuestion question;
+    AdmissionQuery question;
     question.request = RequestId(key);
     question.budget = {OrganisationId("magnolia"), "saturday"};
     question.worstCaseTokens = kWorstCase;
@@ -95,7 +95,7 @@
     m_courier.carry({from, to, text, std::move(deliver), nullptr});
 }
 
-void RequestSession::call(const std::string &entry, const AdmitQuestion &question, const std::string &agent)
+void RequestSession::call(const std::string &entry, const AdmissionQuery &question, const std::string &agent)
 {
     const std::string kind = question.isNonIdempotent ? "order " : "question ";
     send(kCaller, entry, kind + question.request.value(), [=, this] {
@@ -105,7 +105,7 @@
     });
 }
 
-void RequestSession::hear(const std::string &entry, const AdmitQuestion &question, const std::string &agent,
+void RequestSession::hear(const std::string &entry, const AdmissionQuery &question, const std::string &agent,
                           const absl::StatusOr<AdmitDecision> &decision)
 {
     if (!decision.ok()) {
@@ -122,7 +122,7 @@
     startRun(entry, question, agent, std::get<Grant>(*decision));
 }
 
-void RequestSession::startRun(const std::string &entry, const AdmitQuestion &question, const std::string &agent,
+void RequestSession::startRun(const std::string &entry, const AdmissionQuery &question, const std::string &agent,
                               const Grant &grant)
 {
     m_entries[entry]->home->noteDispatched(question.request, grant.attempt, agent);
@@ -144,7 +144,7 @@
     });
 }
 
-void RequestSession::attach(const std::string &entry, const AdmitQuestion &question, const DuplicateRun &run)
+void RequestSession::attach(const std::string &entry, const AdmissionQuery &question, const DuplicateRun &run)
 {
     send(entry, run.agentAddress, "the answer to " + question.request.value() + " from its first byte", [=, this] {
         const RunRecord record = m_agents.table(run.agentAddress)->find(question.request, run.attempt);
@@ -155,7 +155,7 @@
     });
 }
 
-void RequestSession::finishRun(const std::string &agent, const AdmitQuestion &question, std::int64_t tokens)
+void RequestSession::finishRun(const std::string &agent, const AdmissionQuery &question, std::int64_t tokens)
 {
     const RunRecord record = m_agents.table(agent)->findAttachable(question.request);
     m_agents.table(agent)->noteDone(record.attempt, tokens);
@@ -165,7 +165,7 @@
     answer(m_readers[record.attempt], question, agent, record.attempt);
 }
 
-void RequestSession::answer(const std::string &entry, const AdmitQuestion &question, const std::string &agent,
+void RequestSession::answer(const std::string &entry, const AdmissionQuery &question, const std::string &agent,
                             const AttemptId &attempt)
 {
     const RunRecord record = m_agents.table(agent)->find(question.request, attempt);
--- a/tests/golden/requestsession.h
+++ b/tests/golden/requestsession.h
@@ -26,20 +26,20 @@
 class RequestSession : public testing::Test
 {
 protected:
-    using AdmitQuestion = RadishSwitch::AdmitQuestion;
+    using AdmissionQuery = RadishSwitch::AdmissionQuery;
     using Grant = RadishSwitch::Grant;
 
     RequestSession();
     ~RequestSession() override;
 
-    AdmitQuestion question(const std::string &key, bool isNonIdempotent) const;
+    AdmissionQuery question(const std::string &key, bool isNonIdempotent) const;
 
     /// A caller sends a request to an entry, which sends a granted run to this agent. The run goes on until
     /// `finishRun`.
-    void call(const std::string &entry, const AdmitQuestion &question, const std::string &agent);
+    void call(const std::string &entry, const AdmissionQuery &question, const std::string &agent);
 
     /// The engine has done what the caller asked for.
-    void finishRun(const std::string &agent, const AdmitQuestion &question, std::int64_t tokens);
+    void finishRun(const std::string &agent, const AdmissionQuery &question, std::int64_t tokens);
 
     void kill(const std::string &entry);
 
@@ -64,18 +64,18 @@
     struct Entry;
     struct OpenRun {
         std::string entry;
-        AdmitQuestion question;
+        AdmissionQuery question;
         Grant grant;
         std::string home;
     };
 
     void send(const std::string &from, const std::string &to, const std::string &text, std::function<void()> deliver);
-    void hear(const std::string &entry, const AdmitQuestion &question, const std::string &agent,
+    void hear(const std::string &entry, const AdmissionQuery &question, const std::string &agent,
               const absl::StatusOr<RadishSwitch::AdmitDecision> &decision);
-    void startRun(const std::string &entry, const AdmitQuestion &question, const std::string &agent,
+    void startRun(const std::string &entry, const AdmissionQuery &question, const std::string &agent,
                   const Grant &grant);
-    void attach(const std::string &entry, const AdmitQuestion &question, const RadishSwitch::DuplicateRun &run);
-    void answer(const std::string &entry, const AdmitQuestion &question, const std::string &agent,
+    void attach(const std::string &entry, const AdmissionQuery &question, const RadishSwitch::DuplicateRun &run);
+    void answer(const std::string &entry, const AdmissionQuery &question, const std::string &agent,
                 const RadishSwitch::AttemptId &attempt);
     static std::string tellObject(const std::string &key, const std::string &value);
 
--- a/tests/golden/requestsession_test.cpp
+++ b/tests/golden/requestsession_test.cpp
@@ -7,7 +7,7 @@
 // whole answer. The quote ran once and is billed once.
 TEST_F(RequestSession, routerDeath_withRetry_runsAndBillsOnce)
 {
-    const AdmitQuestion quote = question("quote-17", false);
+    const AdmissionQuery quote = question("quote-17", false);
     recorder.tells("A shop asks for a quote.");
     call("entry-1", quote, "agent-1");
     advance(std::chrono::milliseconds(100));
@@ -34,8 +34,8 @@
 // the claim is undone, the shop's retry claims it again and the order runs once.
 TEST_F(RequestSession, storeOutage_withLostClaim_refusesAtOnceAndRunsOnceLater)
 {
-    const AdmitQuestion quote = question("quote-18", false);
-    const AdmitQuestion order = question("blinds-5", true);
+    const AdmissionQuery quote = question("quote-18", false);
+    const AdmissionQuery order = question("blinds-5", true);
     recorder.tells("A shop asks for a quote; entry-1 becomes the owner of its keys.");
     call("entry-1", quote, "agent-1");
     advance(std::chrono::milliseconds(50));
@@ -80,8 +80,8 @@
 // entry ends. A late retry of the quote gets its answer at the other entry and runs nothing.
 TEST_F(RequestSession, plannedStop_midAnswer_endsItsRequestsAndLosesNone)
 {
-    const AdmitQuestion quote = question("quote-19", false);
-    const AdmitQuestion next = question("quote-20", false);
+    const AdmissionQuery quote = question("quote-19", false);
+    const AdmissionQuery next = question("quote-20", false);
     recorder.tells("A shop asks for a quote.");
     call("entry-1", quote, "agent-1");
     advance(std::chrono::milliseconds(50));
--- a/tests/radishswitch-entry/fakehomes.h
+++ b/tests/radishswitch-entry/fakehomes.h
@@ -36,7 +36,7 @@
     absl::Status dispatchAnswer;
 
     int opened = 0;
-    std::vector<RadishSwitch::AdmitQuestion> questions;
+    std::vector<RadishSwitch::AdmissionQuery> questions;
     std::vector<RadishSwitch::AttemptId> dispatched;
     std::vector<Settlement> settlements;
     /// Sessions that were granted and ended without a settlement.
@@ -58,7 +58,7 @@
             m_homes.abandoned += m_isOpen ? 1 : 0;
         }
 
-        void admit(const RadishSwitch::AdmitQuestion &question, AdmitCallback callback) override
+        void admit(const RadishSwitch::AdmissionQuery &question, AdmitCallback callback) override
         {
             m_homes.questions.push_back(question);
             RadishSwitch::Grant grant;
--- a/tests/radishswitch-entry/homeservice_test.cpp
+++ b/tests/radishswitch-entry/homeservice_test.cpp
@@ -27,9 +27,9 @@
 class HomeServiceTest : public testing::Test
 {
 protected:
-    AdmitQuestion keyedQuestion() const
+    AdmissionQuery keyedQuestion() const
     {
-        AdmitQuestion question;
+        AdmissionQuery question;
         question.request = RequestId("r-1");
         question.budget = {OrganisationId("magnolia"), "main"};
         question.worstCaseTokens = 100;
@@ -92,7 +92,7 @@
     Home home(HomePorts{fleet.timers, tasks, random, fleet.store, port, reservations, directory},
               KeyOwner{IncarnationId("home"), "home:1", "south-central", 0}, HomeSettings());
     HomeService homeService(home, monitor, fleet.timers, fleet.tasks);
-    AdmitQuestion question = keyedQuestion();
+    AdmissionQuery question = keyedQuestion();
     question.isKeyed = false;
     const auto stream = std::make_shared<FakeMessageStream>(loop, "home:1", "/home", std::string());
     homeService.serveStream(stream);
--- a/tests/radishswitch-entry/homesession_test.cpp
+++ b/tests/radishswitch-entry/homesession_test.cpp
@@ -10,9 +10,9 @@
 class LocalHomeSessionTest : public testing::Test
 {
 protected:
-    AdmitQuestion question() const
+    AdmissionQuery question() const
     {
-        AdmitQuestion question;
+        AdmissionQuery question;
         question.request = RequestId("r-1");
         question.budget = {OrganisationId("magnolia"), "main"};
         question.worstCaseTokens = 100;
@@ -95,7 +95,7 @@
 
 TEST(HomeWireTest, admitQuestion_overTheWire_isTheSame)
 {
-    AdmitQuestion question;
+    AdmissionQuery question;
     question.request = RequestId("r-1");
     question.budget = {OrganisationId("magnolia"), "main"};
     question.worstCaseTokens = 100;
--- a/tests/radishswitch-entry/recordedhomes.h
+++ b/tests/radishswitch-entry/recordedhomes.h
@@ -38,7 +38,7 @@
         {
         }
 
-        void admit(const RadishSwitch::AdmitQuestion &question, AdmitCallback callback) override
+        void admit(const RadishSwitch::AdmissionQuery &question, AdmitCallback callback) override
         {
             const std::string kind = question.isNonIdempotent ? "order" : "question";
             m_homes.asks("may this " + kind + " run, for at most " + std::to_string(question.worstCaseTokens)
--- a/tests/radishswitch-entry/remotehomesession_test.cpp
+++ b/tests/radishswitch-entry/remotehomesession_test.cpp
@@ -22,7 +22,7 @@
                                                       [this](const std::string &address) {
                                                           owner = address;
                                                       });
-        AdmitQuestion question;
+        AdmissionQuery question;
         question.request = RequestId("r-1");
         question.deadline = loop.timers.now() + std::chrono::seconds(30);
         session->admit(question, [this](auto answer) {
