--- a/tests/core/requests/requestsimulation.cpp
+++ b/tests/core/requests/requestsimulation.cpp
@@ -157,7 +157,7 @@
             steps.push_back("kill " + name);
         }
         if (m_remaining.falseDeaths > 0) {
-            steps.push_back("doubt " + name);
+            steps.push_back("suspect " + name);
         }
     }
     for (const std::string &address : m_agents.listed()) {
@@ -169,7 +169,7 @@
         steps.push_back("time passes");
     }
     if (m_remaining.lostStoreAnswers > 0) {
-        steps.push_back("store forgets");
+        steps.push_back("store loses answer");
     }
     return steps;
 }
@@ -219,7 +219,7 @@
     } else if (step.verb == "close") {
         recordEvent("agents", text);
         closePortionOf(step.object);
-    } else if (step.verb == "doubt") {
+    } else if (step.verb == "suspect") {
         --m_remaining.falseDeaths;
         recordEvent(otherEntry(step.object), text);
         m_entries[otherEntry(step.object)]->directory.setLiveness(IncarnationId(step.object), EntryLiveness::Dead);
