--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -323,16 +323,16 @@
     return HttpResponse{200, HttpHeaders{{"Content-Type", "application/json"}}, json.dump()};
 }
 
-HolderStanding Entry::standingOf(const IncarnationId &holder) const
+HolderState Entry::stateOf(const IncarnationId &holder) const
 {
     Monitor &monitor = const_cast<Monitor &>(m_membershipMonitor);
     return monitor.run([&] {
         for (const EntryMember &member : m_membership.liveEntries(std::string())) {
             if (member.incarnation == holder) {
-                return HolderStanding::Alive;
+                return HolderState::Alive;
             }
         }
-        return m_membership.isDead(holder, m_timers.now()) ? HolderStanding::Dead : HolderStanding::Missing;
+        return m_membership.isDead(holder, m_timers.now()) ? HolderState::Dead : HolderState::Missing;
     });
 }
 
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -28,7 +28,7 @@
 {
 
 /// One entry process: everything it is made of, joined together.
-class Entry : private HolderWatch
+class Entry : private HolderDirectory
 {
 public:
     explicit Entry(EntrySettings settings);
@@ -48,7 +48,7 @@
     std::uint16_t port() const;
 
 private:
-    HolderStanding standingOf(const IncarnationId &holder) const override;
+    HolderState stateOf(const IncarnationId &holder) const override;
     std::vector<std::uint32_t> homeShards() const override;
 
     EntryMember selfMember() const;
--- a/src/entry/homestack.h
+++ b/src/entry/homestack.h
@@ -27,7 +27,7 @@
         RandomSource &random;
         AgentPort &agents;
         const EntryDirectory &entries;
-        const HolderWatch &holders;
+        const HolderDirectory &holders;
     };
 
     HomeStack(const Ports &ports, const KeyOwner &self, std::uint32_t shardCount);
--- a/src/fleet/fleetparts.cpp
+++ b/src/fleet/fleetparts.cpp
@@ -17,8 +17,8 @@
     // After an outage the first callers wait no longer than this for the ledger to be asked.
     ledger.longestBackoff = std::chrono::milliseconds(800);
     // Callers wait for the ledger; one call without an answer is reason enough to tell them.
-    ledger.failuresUntilAway = 1;
-    ledger.keepsShards = true;
+    ledger.failuresUntilUnavailable = 1;
+    ledger.cachesShards = true;
     return ledger;
 }
 
@@ -45,7 +45,7 @@
     // The averaged use goes up and down by a fifth within a second, and the size wished for with it. Asked each time,
     // ten budgets of two shards have these written 169 times in half a minute; with this and a wider low water 23
     // times.
-    holder.relaxedAskInterval = std::chrono::seconds(2);
+    holder.relaxedTakeInterval = std::chrono::seconds(2);
     holder.surplusFactor = 1.5;
     // A home that is killed takes its portion with it. Near the end of a budget nine seconds of use are most of what
     // is left, and every later call is refused for it; a smaller share ends sooner while the store is away. Standard
@@ -70,7 +70,7 @@
     // Reports of spending prove nothing here, where no closer reads them; they only find idle portions.
     holder.checkpointInterval = std::chrono::seconds(8);
     holder.relaxedCheckpointInterval = std::chrono::seconds(16);
-    holder.dryRecheckInterval = std::chrono::seconds(1);
+    holder.exhaustedRecheckInterval = std::chrono::seconds(1);
     holder.exhaustedRetryAfter = std::chrono::seconds(2);
     // Another gateway may still hold a portion, and a caller's next try goes to another.
     holder.unavailableRetryAfter = std::chrono::milliseconds(200);
--- a/src/fleet/prepaidbudgets.cpp
+++ b/src/fleet/prepaidbudgets.cpp
@@ -43,15 +43,15 @@
 }
 
 void PrepaidBudgets::handleTaken(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens,
-                                 const BudgetGlance &glance)
+                                 const BudgetSnapshot &snapshot)
 {
     kLog.info("portion taken",
               {field("budget", budget.toString()), field("number", portion.number), field("tokens", tokens),
                field("available", portion.available()), field("reserved", portion.reserved),
-               field("spent", portion.spent), field("free", glance.free), field("paid", glance.paid)});
+               field("spent", portion.spent), field("free", snapshot.free), field("paid", snapshot.paid)});
 }
 
-void PrepaidBudgets::handleGivenBack(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens)
+void PrepaidBudgets::handleReturned(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens)
 {
     kLog.info("portion given back",
               {field("budget", budget.toString()), field("number", portion.number), field("tokens", tokens),
@@ -59,7 +59,7 @@
                field("spent", portion.spent)});
 }
 
-void PrepaidBudgets::handleRunDry(const BudgetId &budget, const BudgetGlance &glance)
+void PrepaidBudgets::handleExhausted(const BudgetId &budget, const BudgetSnapshot &snapshot)
 {
     HeldBudgetStatus::Portion here;
     if (const std::optional<HeldBudgetStatus> status = m_holder.budgetStatus(budget)) {
@@ -70,9 +70,9 @@
         }
     }
     kLog.info("nothing left to grant",
-              {field("budget", budget.toString()), field("paid", glance.paid), field("settled", glance.settled),
-               field("free", glance.free), field("portions", glance.portions),
-               field("unspent_in_portions", glance.unspentInPortions), field("granted_here", here.granted),
+              {field("budget", budget.toString()), field("paid", snapshot.paid), field("settled", snapshot.settled),
+               field("free", snapshot.free), field("portions", snapshot.portions),
+               field("unspent_in_portions", snapshot.unspentInPortions), field("granted_here", here.granted),
                field("spent_here", here.spent), field("reserved_here", here.reserved)});
 }
 
@@ -121,7 +121,7 @@
 
 bool PrepaidBudgets::isLedgerAway(const BudgetId &budget) const
 {
-    return m_ledger.isStoreAway(m_ledger.shardOf(budget)) || m_isStoreLost();
+    return m_ledger.isStoreUnavailable(m_ledger.shardOf(budget)) || m_isStoreLost();
 }
 
 void PrepaidBudgets::returnHanded(const OrganisationId &organisation, const PortionId &portion,
--- a/src/fleet/prepaidbudgets.h
+++ b/src/fleet/prepaidbudgets.h
@@ -31,10 +31,10 @@
 private:
     /// Logs what tells a budget that was used up from one whose rest lies in portions: of others, or of gateways that
     /// were killed.
-    void handleRunDry(const BudgetId &budget, const BudgetGlance &glance) override;
+    void handleExhausted(const BudgetId &budget, const BudgetSnapshot &snapshot) override;
     void handleTaken(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens,
-                     const BudgetGlance &glance) override;
-    void handleGivenBack(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens) override;
+                     const BudgetSnapshot &snapshot) override;
+    void handleReturned(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens) override;
     /// Whether a reservation needs nothing of the ledger.
     bool holds(const ReservationRequest &request) const;
     /// Books what was paid with the first reservation here that draws on it: were every process to book each change, it
--- a/src/libradishswitch/budgets/beginclosechange.cpp
+++ b/src/libradishswitch/budgets/beginclosechange.cpp
@@ -12,15 +12,15 @@
 
 absl::Status BeginCloseChange::apply(LedgerShard &shard)
 {
-    m_found.clear();
+    m_portions.clear();
     for (const auto &[budget, record] : shard.budgets()) {
         for (const auto &[id, portion] : record.portions()) {
             if (portion.holder == m_holder) {
-                m_found.push_back({budget, id, portion});
+                m_portions.push_back({budget, id, portion});
             }
         }
     }
-    for (const Found &it : m_found) {
+    for (const ClosingPortion &it : m_portions) {
         const absl::Status status = shard.change(it.budget, [&](BudgetRecord &record) {
             return record.beginClose(it.portion);
         });
@@ -37,9 +37,9 @@
     return "begin to close the portions of " + m_holder.value();
 }
 
-const std::vector<BeginCloseChange::Found> &BeginCloseChange::found() const
+const std::vector<BeginCloseChange::ClosingPortion> &BeginCloseChange::portions() const
 {
-    return m_found;
+    return m_portions;
 }
 
 }
--- a/src/libradishswitch/budgets/beginclosechange.h
+++ b/src/libradishswitch/budgets/beginclosechange.h
@@ -13,12 +13,12 @@
 class BeginCloseChange : public LedgerChange
 {
 public:
-    struct Found {
+    struct ClosingPortion {
         BudgetId budget;
         PortionId portion;
         PortionRecord record;
 
-        bool operator==(const Found &) const = default;
+        bool operator==(const ClosingPortion &) const = default;
     };
 
     explicit BeginCloseChange(IncarnationId holder);
@@ -27,11 +27,11 @@
     std::string describe() const override;
 
     /// The holder's portions, as they are from now on.
-    const std::vector<Found> &found() const;
+    const std::vector<ClosingPortion> &portions() const;
 
 private:
     IncarnationId m_holder;
-    std::vector<Found> m_found;
+    std::vector<ClosingPortion> m_portions;
 };
 
 }
--- a/src/libradishswitch/budgets/billing.cpp
+++ b/src/libradishswitch/budgets/billing.cpp
@@ -15,8 +15,8 @@
     if (tokens == 0) {
         return release(request);
     }
-    const RunRecord *rival = rivalOf(request);
-    if (isProvisional || (rival && rival->state == RunState::Running)) {
+    const RunRecord *competingRun = competingRunOf(request);
+    if (isProvisional || (competingRun && competingRun->state == RunState::Running)) {
         m_waiting[request] = {shard, tokens, !isProvisional};
         return;
     }
@@ -25,9 +25,9 @@
 
 void Billing::decide(const RequestId &request, std::int64_t tokens)
 {
-    const RunRecord *rival = rivalOf(request);
-    const bool isBilledElsewhere = rival && rival->chargedTokens > 0;
-    m_rivals.erase(request);
+    const RunRecord *competingRun = competingRunOf(request);
+    const bool isBilledElsewhere = competingRun && competingRun->chargedTokens > 0;
+    m_competingRuns.erase(request);
     if (isBilledElsewhere) {
         return m_reservations.release(request);
     }
@@ -36,42 +36,42 @@
 
 void Billing::release(const RequestId &request)
 {
-    m_rivals.erase(request);
+    m_competingRuns.erase(request);
     m_reservations.release(request);
 }
 
 void Billing::withhold(const RequestId &request)
 {
-    m_rivals.erase(request);
+    m_competingRuns.erase(request);
     m_reservations.withhold(request);
 }
 
-void Billing::noteRival(const RunRecord &record)
+void Billing::noteCompetingRun(const RunRecord &record)
 {
-    RunRecord &rival = m_rivals[record.request];
-    const bool isFirst = rival.request.isEmpty();
-    const bool isSame = rival.attempt == record.attempt;
+    RunRecord &competingRun = m_competingRuns[record.request];
+    const bool isFirst = competingRun.request.isEmpty();
+    const bool isSame = competingRun.attempt == record.attempt;
     if (isFirst || isSame || record.state == RunState::Done || record.state == RunState::Running) {
-        rival = record;
+        competingRun = record;
     }
     const auto it = m_waiting.find(record.request);
     // Its shard is complete when the rival was found after `resume`, or when this is how the rival ended.
-    if (it != m_waiting.end() && it->second.isResumed && rival.state != RunState::Running) {
+    if (it != m_waiting.end() && it->second.isResumed && competingRun.state != RunState::Running) {
         const Bill bill = it->second;
         m_waiting.erase(it);
         decide(record.request, bill.tokens);
     }
 }
 
-const RunRecord *Billing::rivalOf(const RequestId &request) const
+const RunRecord *Billing::competingRunOf(const RequestId &request) const
 {
-    const auto it = m_rivals.find(request);
-    return it == m_rivals.end() ? nullptr : &it->second;
+    const auto it = m_competingRuns.find(request);
+    return it == m_competingRuns.end() ? nullptr : &it->second;
 }
 
-void Billing::forgetRival(const RequestId &request)
+void Billing::forgetCompetingRun(const RequestId &request)
 {
-    m_rivals.erase(request);
+    m_competingRuns.erase(request);
 }
 
 void Billing::resume(std::uint32_t shard)
@@ -79,8 +79,8 @@
     for (auto it = m_waiting.begin(); it != m_waiting.end();) {
         Bill &bill = it->second;
         bill.isResumed = bill.isResumed || bill.shard == shard;
-        const RunRecord *rival = rivalOf(it->first);
-        if (!bill.isResumed || (rival && rival->state == RunState::Running)) {
+        const RunRecord *competingRun = competingRunOf(it->first);
+        if (!bill.isResumed || (competingRun && competingRun->state == RunState::Running)) {
             ++it;
             continue;
         }
@@ -95,7 +95,7 @@
         if (item.second.shard != shard) {
             return false;
         }
-        m_rivals.erase(item.first);
+        m_competingRuns.erase(item.first);
         m_reservations.withhold(item.first);
         return true;
     });
--- a/src/libradishswitch/budgets/billing.h
+++ b/src/libradishswitch/budgets/billing.h
@@ -30,9 +30,9 @@
     void withhold(const RequestId &request);
 
     /// An agent told of a run of a request that was granted here as well.
-    void noteRival(const RunRecord &record);
-    const RunRecord *rivalOf(const RequestId &request) const;
-    void forgetRival(const RequestId &request);
+    void noteCompetingRun(const RunRecord &record);
+    const RunRecord *competingRunOf(const RequestId &request) const;
+    void forgetCompetingRun(const RequestId &request);
 
     /// All agents have answered for the shard: the waiting bills are decided.
     void resume(std::uint32_t shard);
@@ -57,7 +57,7 @@
 
     ReservationPort &m_reservations;
     std::map<RequestId, Bill> m_waiting;
-    std::map<RequestId, RunRecord> m_rivals;
+    std::map<RequestId, RunRecord> m_competingRuns;
 };
 
 }
--- a/src/libradishswitch/budgets/budgetholder.cpp
+++ b/src/libradishswitch/budgets/budgetholder.cpp
@@ -16,9 +16,9 @@
     , m_random(random)
     , m_settings(std::move(settings))
 {
-    m_ledger.setAwayCallback([this](std::uint32_t shard, bool isAway) {
-        if (isAway) {
-            handleAway(shard);
+    m_ledger.setStoreStateCallback([this](std::uint32_t shard, bool isUnavailable) {
+        if (isUnavailable) {
+            handleStoreUnavailable(shard);
         }
     });
     m_ledger.setRoundCallback([this](std::uint32_t shard) {
@@ -31,7 +31,7 @@
 
 BudgetHolder::~BudgetHolder()
 {
-    m_ledger.setAwayCallback(nullptr);
+    m_ledger.setStoreStateCallback(nullptr);
     m_ledger.setRoundCallback(nullptr);
     m_timers.cancel(m_wheelTimer);
     for (Entry *entry : m_withWaiting) {
@@ -63,12 +63,12 @@
     HeldBudget &budget = entry.second;
     budget.noteReserved(request.tokens, m_timers.now());
     budget.isStandIn = request.isStandIn;
-    noteWhetherAway(budget);
+    noteStoreState(budget);
     if (budget.hasWaiting() || !isGrantable(budget, request)) {
         return wait(entry, request, std::move(callback));
     }
     answer(std::move(callback), grant(entry, request.request, request.tokens));
-    askIfLow(entry);
+    takeIfLow(entry);
 }
 
 absl::Status BudgetHolder::settle(const RequestId &request, std::int64_t chargedTokens)
@@ -153,8 +153,8 @@
     }
     for (Entry &entry : m_budgets) {
         HeldBudget &budget = entry.second;
-        if (!budget.isAsking && budget.current().number != 0) {
-            retire(entry, budget.replaceCurrent({}));
+        if (!budget.isTakePending && budget.current().number != 0) {
+            retirePortion(entry, budget.replaceCurrent({}));
         }
     }
     checkStopped();
@@ -182,7 +182,7 @@
     status.available = held.current().available();
     status.waiting = held.waitingCount();
     status.tokensPerSecond = held.tokensPerSecond(m_timers.now(), m_settings);
-    status.isStoreAway = m_ledger.isStoreAway(held.shard());
+    status.isStoreUnavailable = m_ledger.isStoreUnavailable(held.shard());
     return status;
 }
 
@@ -263,7 +263,7 @@
     }
     // A budget that has run dry is asked about again and again. That the latest answer is still due is no reason to say
     // that the ledger is late, when the one before said that there is too little.
-    const bool isLate = entry.second.isAsking && !wasTooLittleLately(entry.second, it->request);
+    const bool isLate = entry.second.isTakePending && !wasRecentlyInsufficient(entry.second, it->request);
     answer(std::move(it->callback),
            isLate ? makeFailure(FailureCode::LedgerLate, "the ledger did not answer in time",
                                 m_settings.unavailableRetryAfter)
@@ -276,18 +276,19 @@
 void BudgetHolder::evaluate(Entry &entry)
 {
     serveWaiting(entry);
-    refuseHopeless(entry);
+    refuseUnservable(entry);
     if (!entry.second.hasWaiting()) {
         m_withWaiting.erase(&entry);
         entry.second.releaseUnused();
         return;
     }
-    if (entry.second.isAsking || entry.second.pendingChanges > 0) {
-        m_ledger.hurry(entry.second.shard());
+    if (entry.second.isTakePending || entry.second.pendingChanges > 0) {
+        m_ledger.expedite(entry.second.shard());
     }
-    const bool isWorthAsking = !isFreeKnown(entry.second) || entry.second.lastFree >= entry.second.smallestUseful();
-    if (!entry.second.isAsking && isWorthAsking) {
-        ask(entry, Urgency::Urgent);
+    const bool isWorthAsking =
+        !isLastFreeCurrent(entry.second) || entry.second.lastFree >= entry.second.smallestUseful();
+    if (!entry.second.isTakePending && isWorthAsking) {
+        submitTake(entry, Urgency::Urgent);
     }
 }
 
@@ -297,7 +298,7 @@
     if (!budget.hasWaiting()) {
         return;
     }
-    const bool mayOvertake = !hasMoreToCome(budget);
+    const bool mayOvertake = !mayReceiveMore(budget);
     bool isBlocked = false;
     std::deque<WaitingReservation> kept;
     for (WaitingReservation &it : budget.waiting()) {
@@ -313,28 +314,28 @@
     }
     budget.waiting() = std::move(kept);
     if (!budget.hasWaiting()) {
-        askIfLow(entry);
+        takeIfLow(entry);
     }
 }
 
-bool BudgetHolder::wasTooLittleLately(const HeldBudget &budget, const ReservationRequest &request) const
+bool BudgetHolder::wasRecentlyInsufficient(const HeldBudget &budget, const ReservationRequest &request) const
 {
     const std::int64_t missing = request.tokens - std::max<std::int64_t>(budget.current().available(), 0);
-    return wasFreeKnownLately(budget) && budget.lastFree < missing;
+    return isLastFreeRecent(budget) && budget.lastFree < missing;
 }
 
 // While the ledger may bring enough, requests are served in turn: small ones would take each portion before a large one
 // has its share. Once nothing more comes, a large one can only wait for open reservations to end; small ones that
 // waited behind it for its whole patience were refused as late, 150 a second of 250, with room for most of them.
-bool BudgetHolder::hasMoreToCome(const HeldBudget &budget) const
+bool BudgetHolder::mayReceiveMore(const HeldBudget &budget) const
 {
-    if (m_ledger.isStoreAway(budget.shard())) {
+    if (m_ledger.isStoreUnavailable(budget.shard())) {
         return false;
     }
-    return budget.isAsking || !isFreeKnown(budget) || budget.lastFree >= budget.smallestUseful();
+    return budget.isTakePending || !isLastFreeCurrent(budget) || budget.lastFree >= budget.smallestUseful();
 }
 
-void BudgetHolder::refuseHopeless(Entry &entry)
+void BudgetHolder::refuseUnservable(Entry &entry)
 {
     if (!entry.second.hasWaiting()) {
         return;
@@ -359,31 +360,31 @@
 
 bool BudgetHolder::leavesHeadroom(const HeldBudget &budget, const ReservationRequest &request) const
 {
-    return budget.leavesHeadroom(request, m_ledger.isStoreAway(budget.shard()), m_settings);
+    return budget.leavesHeadroom(request, m_ledger.isStoreUnavailable(budget.shard()), m_settings);
 }
 
-void BudgetHolder::noteWhetherAway(HeldBudget &budget) const
+void BudgetHolder::noteStoreState(HeldBudget &budget) const
 {
-    if (!m_ledger.isStoreAway(budget.shard())) {
-        budget.availableAtLoss.reset();
-    } else if (!budget.availableAtLoss) {
-        budget.availableAtLoss = budget.current().available();
+    if (!m_ledger.isStoreUnavailable(budget.shard())) {
+        budget.availableAtOutage.reset();
+    } else if (!budget.availableAtOutage) {
+        budget.availableAtOutage = budget.current().available();
     }
 }
 
 std::optional<absl::Status> BudgetHolder::refusalOf(const Entry &entry, const ReservationRequest &request) const
 {
     const HeldBudget &budget = entry.second;
-    const std::int64_t missing = request.tokens - budget.potential();
+    const std::int64_t missing = request.tokens - budget.maximumAvailable();
     const bool isHeldBack = !leavesHeadroom(budget, request);
     if (missing <= 0 && !isHeldBack) {
         return std::nullopt;
     }
-    if (m_ledger.isStoreAway(budget.shard())) {
+    if (m_ledger.isStoreUnavailable(budget.shard())) {
         return makeFailure(FailureCode::BudgetUnavailable, "the ledger is away and the portion here is used up",
                            m_settings.unavailableRetryAfter);
     }
-    if (budget.isAsking || !isFreeKnown(budget)) {
+    if (budget.isTakePending || !isLastFreeCurrent(budget)) {
         return std::nullopt;
     }
     if (budget.isUnknown) {
--- a/src/libradishswitch/budgets/budgetholder.h
+++ b/src/libradishswitch/budgets/budgetholder.h
@@ -34,7 +34,7 @@
     std::int64_t available = 0;
     std::size_t waiting = 0;
     double tokensPerSecond = 0;
-    bool isStoreAway = false;
+    bool isStoreUnavailable = false;
 
     bool operator==(const HeldBudgetStatus &) const = default;
 };
@@ -120,7 +120,7 @@
     };
 
     /// What was asked of the ledger: which portion, when, and what the holder had of it by then.
-    struct Asked {
+    struct PendingTake {
         std::uint32_t number = 0;
         Instant at{};
         std::int64_t granted = 0;
@@ -133,11 +133,11 @@
     void handleDeadline(Entry &entry, const RequestId &request);
     void evaluate(Entry &entry);
     void serveWaiting(Entry &entry);
-    bool hasMoreToCome(const HeldBudget &budget) const;
-    void noteWhetherAway(HeldBudget &budget) const;
+    bool mayReceiveMore(const HeldBudget &budget) const;
+    void noteStoreState(HeldBudget &budget) const;
     bool isGrantable(const HeldBudget &budget, const ReservationRequest &request) const;
     bool leavesHeadroom(const HeldBudget &budget, const ReservationRequest &request) const;
-    void refuseHopeless(Entry &entry);
+    void refuseUnservable(Entry &entry);
     std::optional<absl::Status> refusalOf(const Entry &entry, const ReservationRequest &request) const;
     void refuseAll(Entry &entry, const absl::Status &status);
     void close(const Open &open, std::int64_t chargedTokens);
@@ -146,28 +146,29 @@
     // budgetholderledger.cpp: what goes to the ledger and comes back.
     /// Whether a change failed since its portion is the holder's no longer.
     static bool isPortionLost(const absl::Status &status);
-    bool isFreeKnown(const HeldBudget &budget) const;
-    bool wasFreeKnownLately(const HeldBudget &budget) const;
+    bool isLastFreeCurrent(const HeldBudget &budget) const;
+    bool isLastFreeRecent(const HeldBudget &budget) const;
     /// Whether the ledger has said lately that it has less than the request lacks here.
-    bool wasTooLittleLately(const HeldBudget &budget, const ReservationRequest &request) const;
+    bool wasRecentlyInsufficient(const HeldBudget &budget, const ReservationRequest &request) const;
     bool isLow(const HeldBudget &budget) const;
-    Urgency calmUrgency(const HeldBudget &budget) const;
-    void askIfLow(Entry &entry);
-    void ask(Entry &entry, Urgency urgency);
+    Urgency backgroundUrgency(const HeldBudget &budget) const;
+    void takeIfLow(Entry &entry);
+    void submitTake(Entry &entry, Urgency urgency);
     void handleRound(std::uint32_t shard);
     bool mayRideAlong(const HeldBudget &budget) const;
     PortionRequest portionRequest(const HeldBudget &budget, std::uint32_t number) const;
-    void handleTaken(Entry &entry, const TakePortionChange &change, const Asked &asked, const absl::Status &status);
-    void adopt(Entry &entry, const TakePortionChange &change, const Asked &asked);
-    void drop(Entry &entry, std::uint32_t number);
-    void retire(Entry &entry, HeldPortion portion);
+    void handleTaken(Entry &entry, const TakePortionChange &change, const PendingTake &take,
+                     const absl::Status &status);
+    void applyGrant(Entry &entry, const TakePortionChange &change, const PendingTake &take);
+    void dropLostPortion(Entry &entry, std::uint32_t number);
+    void retirePortion(Entry &entry, HeldPortion portion);
     void returnWhole(Entry &entry, const HeldPortion &portion);
-    void tellGivenBack(const Entry &entry, const HeldPortion &portion, std::int64_t tokens);
-    void surrender(Entry &entry, HeldPortion &portion, std::int64_t tokens);
+    void notifyReturned(const Entry &entry, const HeldPortion &portion, std::int64_t tokens);
+    void returnPart(Entry &entry, HeldPortion &portion, std::int64_t tokens);
     void withholdPart(Entry &entry, HeldPortion &portion, std::int64_t tokens, const RequestId &request);
-    void submitCalm(Entry &entry, std::uint32_t number, std::shared_ptr<LedgerChange> change);
+    void submitInBackground(Entry &entry, std::uint32_t number, std::shared_ptr<LedgerChange> change);
     void returnIfDrained(Entry &entry, const HeldPortion &portion);
-    void handleAway(std::uint32_t shard);
+    void handleStoreUnavailable(std::uint32_t shard);
     void checkStopped();
     PortionId portionId(std::uint32_t number) const;
 
@@ -177,12 +178,12 @@
     bool isReportDue(const HeldBudget &budget, const HeldPortion &portion) const;
     void report(Entry &entry, const HeldPortion &portion);
     void submitReport(Entry &entry, const HeldPortion &portion, Urgency urgency);
-    void handleReported(Entry &entry, const ReportSpendChange &change, std::uint32_t number, Instant askedAt,
+    void handleReported(Entry &entry, const ReportSpendChange &change, std::uint32_t number, Instant submittedAt,
                         const absl::Status &status);
     bool isOld(const HeldPortion &portion) const;
     void replaceIfOld(Entry &entry);
-    void giveBackSurplus(Entry &entry, const BudgetGlance &glance);
-    bool isForgettable(const HeldBudget &budget) const;
+    void returnSurplus(Entry &entry, const BudgetSnapshot &snapshot);
+    bool isRemovable(const HeldBudget &budget) const;
 
     Ledger &m_ledger;
     TimerService &m_timers;
--- a/src/libradishswitch/budgets/budgetholdercheckpoints.cpp
+++ b/src/libradishswitch/budgets/budgetholdercheckpoints.cpp
@@ -11,7 +11,7 @@
     std::vector<Entry *> &slot = m_wheel[m_wheelSlot];
     std::erase_if(slot, [this](Entry *entry) {
         checkpoint(*entry);
-        if (!isForgettable(entry->second)) {
+        if (!isRemovable(entry->second)) {
             return false;
         }
         const BudgetId budget = entry->first;
@@ -31,8 +31,8 @@
     const HeldPortion current = budget.current();
     const bool isIdle =
         current.reserved == 0 && !budget.hasWaiting() && m_timers.now() - budget.lastUsedAt() >= m_settings.idleTime;
-    if (current.number != 0 && isIdle && !budget.isAsking) {
-        retire(entry, budget.replaceCurrent({}));
+    if (current.number != 0 && isIdle && !budget.isTakePending) {
+        retirePortion(entry, budget.replaceCurrent({}));
     } else if (current.number != 0) {
         report(entry, current);
         replaceIfOld(entry);
@@ -50,19 +50,19 @@
 void BudgetHolder::replaceIfOld(Entry &entry)
 {
     HeldBudget &budget = entry.second;
-    if (budget.isAsking || m_isStopping || budget.hasWaiting() || !isOld(budget.current())) {
+    if (budget.isTakePending || m_isStopping || budget.hasWaiting() || !isOld(budget.current())) {
         return;
     }
-    if (m_ledger.isStoreAway(budget.shard())) {
+    if (m_ledger.isStoreUnavailable(budget.shard())) {
         return;
     }
-    ask(entry, calmUrgency(budget));
+    submitTake(entry, backgroundUrgency(budget));
 }
 
 void BudgetHolder::report(Entry &entry, const HeldPortion &portion)
 {
     if (isReportDue(entry.second, portion)) {
-        submitReport(entry, portion, calmUrgency(entry.second));
+        submitReport(entry, portion, backgroundUrgency(entry.second));
     }
 }
 
@@ -81,8 +81,8 @@
                     });
 }
 
-void BudgetHolder::handleReported(Entry &entry, const ReportSpendChange &change, std::uint32_t number, Instant askedAt,
-                                  const absl::Status &status)
+void BudgetHolder::handleReported(Entry &entry, const ReportSpendChange &change, std::uint32_t number,
+                                  Instant submittedAt, const absl::Status &status)
 {
     HeldBudget &budget = entry.second;
     HeldPortion *portion = budget.find(number);
@@ -90,42 +90,42 @@
         return;
     }
     if (isPortionLost(status)) {
-        drop(entry, number);
+        dropLostPortion(entry, number);
         return evaluate(entry);
     }
     if (!status.ok()) {
         return;
     }
-    portion->confirmedAt = std::max(portion->confirmedAt, askedAt);
-    budget.lastFree = change.glance().free;
-    budget.lastPaid = change.glance().paid;
-    if (portion == &budget.current() && !budget.isAsking && !m_isStopping) {
-        giveBackSurplus(entry, change.glance());
+    portion->confirmedAt = std::max(portion->confirmedAt, submittedAt);
+    budget.lastFree = change.snapshot().free;
+    budget.lastPaid = change.snapshot().paid;
+    if (portion == &budget.current() && !budget.isTakePending && !m_isStopping) {
+        returnSurplus(entry, change.snapshot());
     }
 }
 
-void BudgetHolder::giveBackSurplus(Entry &entry, const BudgetGlance &glance)
+void BudgetHolder::returnSurplus(Entry &entry, const BudgetSnapshot &snapshot)
 {
     HeldBudget &budget = entry.second;
     const Instant now = m_timers.now();
-    const bool isWantedElsewhere = !glance.wantedBy.isEmpty() && glance.wantedBy != m_settings.incarnation;
-    const std::int64_t wished = budget.wishedSize(now, m_settings);
-    const std::int64_t kept = isWantedElsewhere ? budget.sizeWhenWanted(now, m_settings) : wished;
+    const bool isWantedElsewhere = !snapshot.wantedBy.isEmpty() && snapshot.wantedBy != m_settings.incarnation;
+    const std::int64_t target = budget.targetSize(now, m_settings);
+    const std::int64_t kept = isWantedElsewhere ? budget.sizeInShortage(now, m_settings) : target;
     const double limit =
-        isWantedElsewhere ? static_cast<double>(kept) : static_cast<double>(wished) * m_settings.surplusFactor;
+        isWantedElsewhere ? static_cast<double>(kept) : static_cast<double>(target) * m_settings.surplusFactor;
     HeldPortion &portion = budget.current();
     if (budget.hasWaiting() || static_cast<double>(portion.available()) <= limit) {
         return;
     }
     if (kept == 0 && portion.reserved == 0) {
-        return retire(entry, budget.replaceCurrent({}));
+        return retirePortion(entry, budget.replaceCurrent({}));
     }
-    surrender(entry, portion, portion.available() - kept);
+    returnPart(entry, portion, portion.available() - kept);
 }
 
-bool BudgetHolder::isForgettable(const HeldBudget &budget) const
+bool BudgetHolder::isRemovable(const HeldBudget &budget) const
 {
-    return budget.current().number == 0 && budget.draining().empty() && !budget.hasWaiting() && !budget.isAsking
+    return budget.current().number == 0 && budget.draining().empty() && !budget.hasWaiting() && !budget.isTakePending
         && budget.pendingChanges == 0 && budget.openReservations == 0
         && m_timers.now() - budget.lastUsedAt() >= m_settings.idleTime;
 }
--- a/src/libradishswitch/budgets/budgetholderledger.cpp
+++ b/src/libradishswitch/budgets/budgetholderledger.cpp
@@ -14,7 +14,7 @@
 {
 
 /// Below this share of the low-water mark what is asked for no longer waits for other writes.
-constexpr double kHurryShare = 0.8;
+constexpr double kExpediteShare = 0.8;
 
 }
 
@@ -26,52 +26,53 @@
     return failureCode(status) == FailureCode::PortionClosed || failureCode(status) == FailureCode::BudgetUnknown;
 }
 
-bool BudgetHolder::isFreeKnown(const HeldBudget &budget) const
+bool BudgetHolder::isLastFreeCurrent(const HeldBudget &budget) const
 {
-    return budget.lastFreeAt != Instant::min() && m_timers.now() - budget.lastFreeAt < m_settings.dryRecheckInterval;
+    return budget.lastFreeAt != Instant::min()
+        && m_timers.now() - budget.lastFreeAt < m_settings.exhaustedRecheckInterval;
 }
 
-bool BudgetHolder::wasFreeKnownLately(const HeldBudget &budget) const
+bool BudgetHolder::isLastFreeRecent(const HeldBudget &budget) const
 {
     // An answer may take as long as the pause before the next question, and a budget has its turn among others.
     constexpr int kRounds = 4;
     return budget.lastFreeAt != Instant::min()
-        && m_timers.now() - budget.lastFreeAt < kRounds * m_settings.dryRecheckInterval;
+        && m_timers.now() - budget.lastFreeAt < kRounds * m_settings.exhaustedRecheckInterval;
 }
 
 bool BudgetHolder::isLow(const HeldBudget &budget) const
 {
-    return budget.lastFree < budget.wishedSize(m_timers.now(), m_settings) * m_settings.lowBudgetFactor;
+    return budget.lastFree < budget.targetSize(m_timers.now(), m_settings) * m_settings.lowBudgetFactor;
 }
 
-Urgency BudgetHolder::calmUrgency(const HeldBudget &budget) const
+Urgency BudgetHolder::backgroundUrgency(const HeldBudget &budget) const
 {
     return isLow(budget) ? Urgency::Soon : Urgency::Relaxed;
 }
 
-void BudgetHolder::askIfLow(Entry &entry)
+void BudgetHolder::takeIfLow(Entry &entry)
 {
     HeldBudget &budget = entry.second;
     if (m_isStopping || budget.isUnknown) {
         return;
     }
     const Instant now = m_timers.now();
-    if (budget.isAsking) {
+    if (budget.isTakePending) {
         // What was asked for in calm rides along with the shard's next write, which may be far off. A budget whose use
         // grows meanwhile would be caught by an outage with a portion of the size that it needed then.
-        const double low = static_cast<double>(budget.wishedSize(now, m_settings)) * m_settings.lowWaterShare;
-        if (static_cast<double>(budget.current().available()) < low * kHurryShare) {
-            m_ledger.hurry(budget.shard());
+        const double low = static_cast<double>(budget.targetSize(now, m_settings)) * m_settings.lowWaterShare;
+        if (static_cast<double>(budget.current().available()) < low * kExpediteShare) {
+            m_ledger.expedite(budget.shard());
         }
         return;
     }
-    if (budget.lastAskedAt != Instant::min() && now - budget.lastAskedAt < m_settings.relaxedAskInterval) {
+    if (budget.lastTakeAt != Instant::min() && now - budget.lastTakeAt < m_settings.relaxedTakeInterval) {
         return;
     }
-    const auto lowWater = static_cast<double>(budget.wishedSize(now, m_settings)) * m_settings.lowWaterShare;
+    const auto lowWater = static_cast<double>(budget.targetSize(now, m_settings)) * m_settings.lowWaterShare;
     const auto available = static_cast<double>(budget.current().available());
     if (available < lowWater) {
-        ask(entry, available < lowWater * kHurryShare ? Urgency::Soon : calmUrgency(budget));
+        submitTake(entry, available < lowWater * kExpediteShare ? Urgency::Soon : backgroundUrgency(budget));
     }
 }
 
@@ -85,23 +86,23 @@
     }
     for (Entry *entry : it->second) {
         if (mayRideAlong(entry->second)) {
-            ask(*entry, Urgency::Relaxed);
+            submitTake(*entry, Urgency::Relaxed);
         }
     }
 }
 
 bool BudgetHolder::mayRideAlong(const HeldBudget &budget) const
 {
-    const bool isDry = isFreeKnown(budget) && budget.lastFree < budget.smallestUseful();
+    const bool isDry = isLastFreeCurrent(budget) && budget.lastFree < budget.smallestUseful();
     const bool isUsed = budget.current().number != 0 && m_timers.now() - budget.lastUsedAt() < m_settings.idleTime;
-    if (budget.isAsking || budget.isUnknown || isDry || !isUsed) {
+    if (budget.isTakePending || budget.isUnknown || isDry || !isUsed) {
         return false;
     }
-    const auto wished = static_cast<double>(budget.wishedSize(m_timers.now(), m_settings));
-    return static_cast<double>(budget.current().available()) < wished * m_settings.rideAlongShare;
+    const auto target = static_cast<double>(budget.targetSize(m_timers.now(), m_settings));
+    return static_cast<double>(budget.current().available()) < target * m_settings.rideAlongShare;
 }
 
-void BudgetHolder::ask(Entry &entry, Urgency urgency)
+void BudgetHolder::submitTake(Entry &entry, Urgency urgency)
 {
     HeldBudget &budget = entry.second;
     const Instant now = m_timers.now();
@@ -111,18 +112,18 @@
     const bool isFresh = current.number == 0 || (isOld(current) && !budget.hasWaiting());
     const std::uint32_t number = isFresh ? ++m_lastNumber : current.number;
     const auto change = std::make_shared<TakePortionChange>(entry.first, portionRequest(budget, number));
-    Asked asked{number, now, 0};
+    PendingTake take{number, now, 0};
     if (!isFresh) {
-        asked.granted = current.granted;
+        take.granted = current.granted;
         budget.current().sequence += 1;
     }
-    budget.isAsking = true;
-    budget.lastAskedAt = now;
+    budget.isTakePending = true;
+    budget.lastTakeAt = now;
     ++m_portions;
     m_ledger.submit(entry.first, change, urgency,
-                    [this, alive = std::weak_ptr<int>(m_alive), &entry, change, asked](const absl::Status &status) {
+                    [this, alive = std::weak_ptr<int>(m_alive), &entry, change, take](const absl::Status &status) {
                         if (!alive.expired()) {
-                            handleTaken(entry, *change, asked, status);
+                            handleTaken(entry, *change, take, status);
                         }
                     });
 }
@@ -130,39 +131,40 @@
 PortionRequest BudgetHolder::portionRequest(const HeldBudget &budget, std::uint32_t number) const
 {
     const HeldPortion &current = budget.current();
-    const std::int64_t wished = budget.wishedSize(m_timers.now(), m_settings);
+    const std::int64_t target = budget.targetSize(m_timers.now(), m_settings);
     PortionRequest request;
     request.portion = portionId(number);
     request.holder = m_settings.incarnation;
     request.region = m_settings.region;
     request.sequence = number == current.number ? current.sequence + 1 : 1;
-    request.needed = std::max<std::int64_t>(budget.shortage(m_ledger.isStoreAway(budget.shard()), m_settings), 0);
+    request.needed =
+        std::max<std::int64_t>(budget.shortage(m_ledger.isStoreUnavailable(budget.shard()), m_settings), 0);
     request.smallestUseful = budget.smallestUseful();
     const bool isGrowing = number == current.number;
-    const std::int64_t had = isGrowing ? std::max<std::int64_t>(current.available(), 0) : 0;
-    request.desired = std::max(request.needed + wished - had, request.needed);
+    const std::int64_t held = isGrowing ? std::max<std::int64_t>(current.available(), 0) : 0;
+    request.desired = std::max(request.needed + target - held, request.needed);
     request.shareOfFree = budget.isStandIn ? m_settings.standInShareOfFree : m_settings.shareOfFree;
     request.atMilliseconds = m_timers.wallClockMilliseconds();
     return request;
 }
 
-void BudgetHolder::handleTaken(Entry &entry, const TakePortionChange &change, const Asked &asked,
+void BudgetHolder::handleTaken(Entry &entry, const TakePortionChange &change, const PendingTake &take,
                                const absl::Status &status)
 {
     HeldBudget &budget = entry.second;
-    budget.isAsking = false;
+    budget.isTakePending = false;
     --m_portions;
     if (status.ok()) {
         budget.isUnknown = false;
-        budget.lastFree = change.glance().free;
-        budget.lastPaid = change.glance().paid;
+        budget.lastFree = change.snapshot().free;
+        budget.lastPaid = change.snapshot().paid;
         budget.lastFreeAt = m_timers.now();
-        adopt(entry, change, asked);
-        if (change.glance().free < change.request().smallestUseful && m_listener) {
-            m_listener->handleRunDry(entry.first, change.glance());
+        applyGrant(entry, change, take);
+        if (change.snapshot().free < change.request().smallestUseful && m_listener) {
+            m_listener->handleExhausted(entry.first, change.snapshot());
         }
     } else if (failureCode(status) == FailureCode::PortionClosed) {
-        drop(entry, asked.number);
+        dropLostPortion(entry, take.number);
     } else if (failureCode(status) == FailureCode::BudgetUnknown) {
         budget.isUnknown = true;
         budget.lastFree = 0;
@@ -174,46 +176,46 @@
     }
     if (m_isStopping) {
         if (budget.current().number != 0) {
-            retire(entry, budget.replaceCurrent({}));
+            retirePortion(entry, budget.replaceCurrent({}));
         }
         return checkStopped();
     }
     evaluate(entry);
 }
 
-void BudgetHolder::adopt(Entry &entry, const TakePortionChange &change, const Asked &asked)
+void BudgetHolder::applyGrant(Entry &entry, const TakePortionChange &change, const PendingTake &take)
 {
     if (change.granted() == 0) {
         return;
     }
     HeldPortion &current = entry.second.current();
-    if (current.number == asked.number) {
+    if (current.number == take.number) {
         // Parts may have been given away since the question went out, so that what it added is what counts.
-        const std::int64_t added = change.granted() - asked.granted;
+        const std::int64_t added = change.granted() - take.granted;
         current.granted += added;
-        current.confirmedAt = std::max(current.confirmedAt, asked.at);
+        current.confirmedAt = std::max(current.confirmedAt, take.at);
         if (added > 0 && m_listener) {
-            m_listener->handleTaken(entry.first, current, added, change.glance());
+            m_listener->handleTaken(entry.first, current, added, change.snapshot());
         }
         return;
     }
     ++m_portions;
     HeldPortion fresh;
-    fresh.number = asked.number;
+    fresh.number = take.number;
     fresh.sequence = static_cast<std::uint32_t>(change.request().sequence);
     fresh.granted = change.granted();
-    fresh.takenAt = asked.at;
-    fresh.confirmedAt = asked.at;
+    fresh.takenAt = take.at;
+    fresh.confirmedAt = take.at;
     if (m_listener) {
-        m_listener->handleTaken(entry.first, fresh, fresh.granted, change.glance());
+        m_listener->handleTaken(entry.first, fresh, fresh.granted, change.snapshot());
     }
     const HeldPortion before = entry.second.replaceCurrent(fresh);
     if (before.number != 0) {
-        retire(entry, before);
+        retirePortion(entry, before);
     }
 }
 
-void BudgetHolder::drop(Entry &entry, std::uint32_t number)
+void BudgetHolder::dropLostPortion(Entry &entry, std::uint32_t number)
 {
     // Another process has closed the portion, taking this one for dead. What is open on it goes on: the agents keep
     // the charges, and the closer counts them. Nothing more is reserved against it.
@@ -224,14 +226,14 @@
     }
 }
 
-void BudgetHolder::retire(Entry &entry, HeldPortion portion)
+void BudgetHolder::retirePortion(Entry &entry, HeldPortion portion)
 {
     if (portion.reserved == 0) {
         return returnWhole(entry, portion);
     }
     const std::int64_t surplus = portion.available();
     if (surplus > 0) {
-        surrender(entry, portion, surplus);
+        returnPart(entry, portion, surplus);
     }
     entry.second.addDraining(portion);
 }
@@ -239,9 +241,9 @@
 void BudgetHolder::returnWhole(Entry &entry, const HeldPortion &portion)
 {
     const auto change = std::make_shared<ReturnPortionChange>(entry.first, portionId(portion.number), portion.spent);
-    tellGivenBack(entry, portion, portion.available());
+    notifyReturned(entry, portion, portion.available());
     const bool isAwaited = m_isStopping || entry.second.hasWaiting();
-    const Urgency urgency = isAwaited ? Urgency::Urgent : calmUrgency(entry.second);
+    const Urgency urgency = isAwaited ? Urgency::Urgent : backgroundUrgency(entry.second);
     entry.second.pendingChanges += 1;
     m_ledger.submit(entry.first, change, urgency,
                     [this, alive = std::weak_ptr<int>(m_alive), &entry](const absl::Status &) {
@@ -257,10 +259,10 @@
                     });
 }
 
-void BudgetHolder::tellGivenBack(const Entry &entry, const HeldPortion &portion, std::int64_t tokens)
+void BudgetHolder::notifyReturned(const Entry &entry, const HeldPortion &portion, std::int64_t tokens)
 {
     if (m_listener) {
-        m_listener->handleGivenBack(entry.first, portion, tokens);
+        m_listener->handleReturned(entry.first, portion, tokens);
     }
 }
 
@@ -274,14 +276,14 @@
     returnWhole(entry, drained);
 }
 
-void BudgetHolder::surrender(Entry &entry, HeldPortion &portion, std::int64_t tokens)
+void BudgetHolder::returnPart(Entry &entry, HeldPortion &portion, std::int64_t tokens)
 {
     portion.granted -= tokens;
     portion.sequence += 1;
-    tellGivenBack(entry, portion, tokens);
-    submitCalm(entry, portion.number,
-               std::make_shared<ReturnPortionChange>(entry.first, portionId(portion.number), portion.spent,
-                                                     portion.sequence, portion.granted));
+    notifyReturned(entry, portion, tokens);
+    submitInBackground(entry, portion.number,
+                       std::make_shared<ReturnPortionChange>(entry.first, portionId(portion.number), portion.spent,
+                                                             portion.sequence, portion.granted));
 }
 
 void BudgetHolder::withholdPart(Entry &entry, HeldPortion &portion, std::int64_t tokens, const RequestId &request)
@@ -289,27 +291,27 @@
     portion.granted -= tokens;
     portion.sequence += 1;
     const std::string reason = "nobody can prove what request " + request.value() + " used";
-    submitCalm(entry, portion.number,
-               std::make_shared<WithholdPartChange>(entry.first, portionId(portion.number), portion.sequence, tokens,
-                                                    reason, m_timers.wallClockMilliseconds()));
+    submitInBackground(entry, portion.number,
+                       std::make_shared<WithholdPartChange>(entry.first, portionId(portion.number), portion.sequence,
+                                                            tokens, reason, m_timers.wallClockMilliseconds()));
 }
 
-void BudgetHolder::submitCalm(Entry &entry, std::uint32_t number, std::shared_ptr<LedgerChange> change)
+void BudgetHolder::submitInBackground(Entry &entry, std::uint32_t number, std::shared_ptr<LedgerChange> change)
 {
     entry.second.pendingChanges += 1;
-    m_ledger.submit(entry.first, std::move(change), m_isStopping ? Urgency::Urgent : calmUrgency(entry.second),
+    m_ledger.submit(entry.first, std::move(change), m_isStopping ? Urgency::Urgent : backgroundUrgency(entry.second),
                     [this, alive = std::weak_ptr<int>(m_alive), &entry, number](const absl::Status &status) {
                         if (alive.expired()) {
                             return;
                         }
                         entry.second.pendingChanges -= 1;
                         if (isPortionLost(status)) {
-                            drop(entry, number);
+                            dropLostPortion(entry, number);
                         }
                     });
 }
 
-void BudgetHolder::handleAway(std::uint32_t shard)
+void BudgetHolder::handleStoreUnavailable(std::uint32_t shard)
 {
     const absl::flat_hash_set<Entry *> withWaiting = m_withWaiting;
     for (Entry *entry : withWaiting) {
--- a/src/libradishswitch/budgets/budgetholderlistener.h
+++ b/src/libradishswitch/budgets/budgetholderlistener.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "budgets/budgetglance.h"
+#include "budgets/budgetsnapshot.h"
 #include "budgets/heldbudget.h"
 #include "budgets/reservation.h"
 
@@ -16,14 +16,14 @@
     virtual ~BudgetHolderListener() = default;
 
     /// Too little is left in the ledger for the next request.
-    virtual void handleRunDry(const BudgetId &budget, const BudgetGlance &glance) = 0;
+    virtual void handleExhausted(const BudgetId &budget, const BudgetSnapshot &snapshot) = 0;
 
     /// A portion was taken, or has grown by `tokens`.
     virtual void handleTaken(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens,
-                             const BudgetGlance &glance) = 0;
+                             const BudgetSnapshot &snapshot) = 0;
 
     /// `tokens` of a portion, unspent, are on their way back to the ledger.
-    virtual void handleGivenBack(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens) = 0;
+    virtual void handleReturned(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens) = 0;
 };
 
 }
--- a/src/libradishswitch/budgets/budgetholdersettings.h
+++ b/src/libradishswitch/budgets/budgetholdersettings.h
@@ -50,7 +50,7 @@
     /// A portion with more than so many times the wished size gives back the excess.
     double surplusFactor = 4;
     /// Use of so long is kept when another holder found too little.
-    Duration survivalTimeWhenWanted = std::chrono::seconds(5);
+    Duration shortageSurvivalTime = std::chrono::seconds(5);
     /// How often the spending of a budget that runs low is written to the ledger, and the ledger looked at.
     Duration checkpointInterval = std::chrono::seconds(5);
     /// The same for all others.
@@ -63,9 +63,9 @@
     /// life of a portion.
     Duration portionLifetime = std::chrono::minutes(10);
     /// For so long after the ledger had too little, it is not asked again.
-    Duration dryRecheckInterval = std::chrono::milliseconds(500);
+    Duration exhaustedRecheckInterval = std::chrono::milliseconds(500);
     /// At least so long between two requests to the ledger that no request waits for.
-    Duration relaxedAskInterval = std::chrono::seconds(1);
+    Duration relaxedTakeInterval = std::chrono::seconds(1);
     /// What callers are told with BudgetExhausted and with BudgetUnavailable.
     std::chrono::milliseconds exhaustedRetryAfter = std::chrono::seconds(5);
     std::chrono::milliseconds unavailableRetryAfter = std::chrono::seconds(2);
--- a/src/libradishswitch/budgets/budgetrecord.cpp
+++ b/src/libradishswitch/budgets/budgetrecord.cpp
@@ -205,8 +205,8 @@
     return absl::OkStatus();
 }
 
-absl::Status BudgetRecord::surrender(const PortionId &portion, std::uint64_t sequence, std::int64_t spent,
-                                     std::int64_t keep)
+absl::Status BudgetRecord::returnPart(const PortionId &portion, std::uint64_t sequence, std::int64_t spent,
+                                      std::int64_t keep)
 {
     const absl::StatusOr<PortionRecord *> record = openPortion(portion);
     if (!record.ok()) {
--- a/src/libradishswitch/budgets/budgetrecord.h
+++ b/src/libradishswitch/budgets/budgetrecord.h
@@ -125,7 +125,7 @@
     absl::Status reportSpend(const PortionId &portion, std::int64_t spent);
 
     /// Lowers a portion to `keep` tokens; `keep` is at least `spent`. PortionClosed when it is closed or gone.
-    absl::Status surrender(const PortionId &portion, std::uint64_t sequence, std::int64_t spent, std::int64_t keep);
+    absl::Status returnPart(const PortionId &portion, std::uint64_t sequence, std::int64_t spent, std::int64_t keep);
 
     /// Settles an open portion at `spent` and frees the rest. A portion that is gone is returned already.
     absl::Status returnPortion(const PortionId &portion, std::int64_t spent);
--- a/src/libradishswitch/budgets/budgetglance.h
+++ b/src/libradishswitch/budgets/budgetsnapshot.h
@@ -6,7 +6,7 @@
 {
 
 /// How a budget stands in the ledger, as a holder needs to know it.
-struct BudgetGlance {
+struct BudgetSnapshot {
     std::int64_t paid = 0;
     std::int64_t settled = 0;
     std::int64_t free = 0;
@@ -16,10 +16,10 @@
     /// The holder that found too little; empty when none did.
     IncarnationId wantedBy;
 
-    bool operator==(const BudgetGlance &) const = default;
+    bool operator==(const BudgetSnapshot &) const = default;
 };
 
-inline BudgetGlance glanceAt(const LedgerShard &shard, const BudgetId &budget)
+inline BudgetSnapshot snapshotOf(const LedgerShard &shard, const BudgetId &budget)
 {
     const BudgetRecord *record = shard.find(budget);
     if (!record) {
--- a/src/libradishswitch/budgets/heldbudget.cpp
+++ b/src/libradishswitch/budgets/heldbudget.cpp
@@ -126,7 +126,7 @@
     return m_use.tokensPerSecond(now, settings.use);
 }
 
-std::int64_t HeldBudget::wishedSize(Instant now, const BudgetHolderSettings &settings) const
+std::int64_t HeldBudget::targetSize(Instant now, const BudgetHolderSettings &settings) const
 {
     // More is asked for at the low-water mark, and what is left then must still last for the survival time.
     const Duration survivalTime = isStandIn ? settings.standInSurvivalTime : settings.survivalTime;
@@ -136,14 +136,14 @@
     // saw one large request, and strand it there.
     const int requestsAhead = isStandIn ? 1 : settings.requestsAhead;
     const double byRequests = std::max(m_typicalTokens * requestsAhead, static_cast<double>(m_lastTokens));
-    return std::min(static_cast<std::int64_t>(std::max(byUse, byRequests)), mostHeld(settings));
+    return std::min(static_cast<std::int64_t>(std::max(byUse, byRequests)), maximumHeld(settings));
 }
 
 // What is held is lost to the budget with its holders, and all of them may be killed at once. While much of a budget is
 // left it is worth more to go on through an outage; near its end, to go on after a loss of power, where a rest that
 // lies with the dead would have every later call refused. So the share that is held shrinks with the share that is
 // left.
-std::int64_t HeldBudget::mostHeld(const BudgetHolderSettings &settings) const
+std::int64_t HeldBudget::maximumHeld(const BudgetHolderSettings &settings) const
 {
     if (lastFreeAt == Instant::min() || settings.mostHeldShare >= 1) {
         return std::numeric_limits<std::int64_t>::max();
@@ -154,16 +154,16 @@
     return static_cast<std::int64_t>(left * share);
 }
 
-std::int64_t HeldBudget::sizeWhenWanted(Instant now, const BudgetHolderSettings &settings) const
+std::int64_t HeldBudget::sizeInShortage(Instant now, const BudgetHolderSettings &settings) const
 {
-    if (now - m_lastUsedAt >= settings.survivalTimeWhenWanted) {
+    if (now - m_lastUsedAt >= settings.shortageSurvivalTime) {
         return 0;
     }
-    const double byUse = tokensPerSecond(now, settings) * secondsOf(settings.survivalTimeWhenWanted);
+    const double byUse = tokensPerSecond(now, settings) * secondsOf(settings.shortageSurvivalTime);
     return std::max(static_cast<std::int64_t>(byUse), m_lastTokens);
 }
 
-std::int64_t HeldBudget::potential() const
+std::int64_t HeldBudget::maximumAvailable() const
 {
     std::int64_t sum = m_current.available() + m_current.reserved;
     for (const HeldPortion &it : draining()) {
@@ -174,7 +174,8 @@
 
 std::int64_t HeldBudget::smallestUseful() const
 {
-    const std::int64_t useful = hasWaiting() ? m_extras->waiting.front().request.tokens - potential() : m_lastTokens;
+    const std::int64_t useful =
+        hasWaiting() ? m_extras->waiting.front().request.tokens - maximumAvailable() : m_lastTokens;
     return std::max<std::int64_t>(useful, 1);
 }
 
@@ -183,7 +184,7 @@
 // alone; where they take an eighth of the tokens, eight times as long as all. Urgent calls that are larger than the
 // usual ones would end it as soon: of 0.03 of a budget they had 1.5 seconds, and small calls none. So they leave half
 // of it to the small ones.
-double HeldBudget::headroomLeftBy(const ReservationRequest &request, const BudgetHolderSettings &settings) const
+double HeldBudget::requiredHeadroomPart(const ReservationRequest &request, const BudgetHolderSettings &settings) const
 {
     const auto tokens = static_cast<double>(request.tokens);
     if (tokens <= m_typicalTokens * (request.isUrgent ? 1 : settings.headroomSmallShare)) {
@@ -192,29 +193,29 @@
     return request.isUrgent ? settings.headroomForSmall : 1;
 }
 
-bool HeldBudget::leavesHeadroom(const ReservationRequest &request, bool isLedgerAway,
+bool HeldBudget::leavesHeadroom(const ReservationRequest &request, bool isLedgerUnavailable,
                                 const BudgetHolderSettings &settings) const
 {
-    const double part = headroomLeftBy(request, settings);
+    const double part = requiredHeadroomPart(request, settings);
     if (part <= 0) {
         return true;
     }
     const std::int64_t left = m_current.available() - request.tokens;
-    if (isLedgerAway) {
-        const auto atLoss = static_cast<double>(availableAtLoss.value_or(0));
-        return static_cast<double>(left) >= atLoss * settings.awayHeadroomShare * part;
+    if (isLedgerUnavailable) {
+        const auto atOutage = static_cast<double>(availableAtOutage.value_or(0));
+        return static_cast<double>(left) >= atOutage * settings.awayHeadroomShare * part;
     }
     const bool isKnown = lastFreeAt != Instant::min();
     const double kept = static_cast<double>(lastPaid) * settings.headroomShare * part;
     return !isKnown || static_cast<double>(left + lastFree) >= kept;
 }
 
-std::int64_t HeldBudget::shortage(bool isLedgerAway, const BudgetHolderSettings &settings) const
+std::int64_t HeldBudget::shortage(bool isLedgerUnavailable, const BudgetHolderSettings &settings) const
 {
     std::int64_t sum = -m_current.available();
     if (m_extras) {
         for (const WaitingReservation &it : m_extras->waiting) {
-            sum += leavesHeadroom(it.request, isLedgerAway, settings) ? it.request.tokens : 0;
+            sum += leavesHeadroom(it.request, isLedgerUnavailable, settings) ? it.request.tokens : 0;
         }
     }
     return sum;
--- a/src/libradishswitch/budgets/heldbudget.h
+++ b/src/libradishswitch/budgets/heldbudget.h
@@ -78,13 +78,13 @@
     double tokensPerSecond(Instant now, const BudgetHolderSettings &settings) const;
 
     /// What the current portion should have available.
-    std::int64_t wishedSize(Instant now, const BudgetHolderSettings &settings) const;
+    std::int64_t targetSize(Instant now, const BudgetHolderSettings &settings) const;
 
     /// What it should keep while others are short.
-    std::int64_t sizeWhenWanted(Instant now, const BudgetHolderSettings &settings) const;
+    std::int64_t sizeInShortage(Instant now, const BudgetHolderSettings &settings) const;
 
     /// Tokens that could be had here without the ledger: available now, or freed by open reservations at best.
-    std::int64_t potential() const;
+    std::int64_t maximumAvailable() const;
 
     /// The least amount from the ledger that is worth a write: what the first that waits lacks at best, or room for a
     /// request of the size last seen.
@@ -92,16 +92,16 @@
 
     /// Whether a reservation leaves the headroom that is kept for urgent and for small ones. While the ledger is away,
     /// that is a share of what was held when it went.
-    bool leavesHeadroom(const ReservationRequest &request, bool isLedgerAway,
+    bool leavesHeadroom(const ReservationRequest &request, bool isLedgerUnavailable,
                         const BudgetHolderSettings &settings) const;
 
     /// What all that wait and leave the headroom need beyond what is available.
-    std::int64_t shortage(bool isLedgerAway, const BudgetHolderSettings &settings) const;
+    std::int64_t shortage(bool isLedgerUnavailable, const BudgetHolderSettings &settings) const;
 
     Instant lastUsedAt() const;
 
     /// A take or a partial return is on its way; there is one at a time.
-    bool isAsking = false;
+    bool isTakePending = false;
     /// Changes on their way to the ledger besides that one; their answers still name this budget.
     std::uint32_t pendingChanges = 0;
     /// Reservations that are granted and neither settled nor released, those on lost portions among them.
@@ -115,13 +115,13 @@
     /// What was paid in all, as of then.
     std::int64_t lastPaid = 0;
     Instant lastFreeAt = Instant::min();
-    Instant lastAskedAt = Instant::min();
+    Instant lastTakeAt = Instant::min();
     /// What was available when the ledger went away; nothing while it is not known to be away.
-    std::optional<std::int64_t> availableAtLoss;
+    std::optional<std::int64_t> availableAtOutage;
 
 private:
     /// The part of the headroom that a reservation has to leave: all, none, or that for small ones.
-    double headroomLeftBy(const ReservationRequest &request, const BudgetHolderSettings &settings) const;
+    double requiredHeadroomPart(const ReservationRequest &request, const BudgetHolderSettings &settings) const;
 
     struct Extras {
         std::vector<HeldPortion> draining;
@@ -129,7 +129,7 @@
     };
 
     /// Most that the portion wishes for, beyond what waiting requests need.
-    std::int64_t mostHeld(const BudgetHolderSettings &settings) const;
+    std::int64_t maximumHeld(const BudgetHolderSettings &settings) const;
     Extras &extras();
 
     std::uint32_t m_shard;
--- a/src/libradishswitch/budgets/holderreservations.cpp
+++ b/src/libradishswitch/budgets/holderreservations.cpp
@@ -11,8 +11,8 @@
 void HolderReservations::reserve(const RequestId &request, const BudgetId &budget, std::int64_t tokens,
                                  Instant deadline, std::function<void(absl::StatusOr<ReservedPortion>)> callback)
 {
-    const ReservationRequest question{request, budget, tokens, deadline};
-    m_holder.reserve(question, [callback = std::move(callback)](absl::StatusOr<Reservation> reservation) {
+    const ReservationRequest reservationRequest{request, budget, tokens, deadline};
+    m_holder.reserve(reservationRequest, [callback = std::move(callback)](absl::StatusOr<Reservation> reservation) {
         if (!reservation.ok()) {
             return callback(reservation.status());
         }
--- a/src/libradishswitch/budgets/ledger.cpp
+++ b/src/libradishswitch/budgets/ledger.cpp
@@ -32,9 +32,9 @@
     m_timers.cancel(m_metaTimer);
 }
 
-void Ledger::setAwayCallback(AwayCallback callback)
+void Ledger::setStoreStateCallback(StoreStateCallback callback)
 {
-    m_onAway = std::move(callback);
+    m_onStoreState = std::move(callback);
 }
 
 void Ledger::setRoundCallback(RoundCallback callback)
@@ -61,7 +61,7 @@
 void Ledger::submit(std::uint32_t shard, std::shared_ptr<LedgerChange> change, Urgency urgency,
                     ShardWriter::Callback callback)
 {
-    whenChecked([this, shard, change = std::move(change), urgency, callback = std::move(callback)]() mutable {
+    whenMetaChecked([this, shard, change = std::move(change), urgency, callback = std::move(callback)]() mutable {
         if (m_metaState == MetaState::Differs) {
             return callback(m_metaStatus);
         }
@@ -69,24 +69,24 @@
     });
 }
 
-void Ledger::hurry(std::uint32_t shard)
+void Ledger::expedite(std::uint32_t shard)
 {
     if (const auto it = m_writers.find(shard); it != m_writers.end()) {
-        it->second->hurry();
+        it->second->expedite();
     }
 }
 
 void Ledger::readShard(std::uint32_t shard, Callback<LedgerShard> callback)
 {
-    whenChecked([this, shard, callback = std::move(callback)]() mutable {
+    whenMetaChecked([this, shard, callback = std::move(callback)]() mutable {
         if (m_metaState == MetaState::Differs) {
             return callback(m_metaStatus);
         }
-        doRead(shard, std::move(callback));
+        readObject(shard, std::move(callback));
     });
 }
 
-void Ledger::doRead(std::uint32_t shard, Callback<LedgerShard> callback)
+void Ledger::readObject(std::uint32_t shard, Callback<LedgerShard> callback)
 {
     auto answer = [alive = std::weak_ptr<int>(m_alive),
                    callback = std::move(callback)](const absl::StatusOr<StoredObject> &object) {
@@ -106,13 +106,13 @@
     });
 }
 
-bool Ledger::isStoreAway(std::uint32_t shard) const
+bool Ledger::isStoreUnavailable(std::uint32_t shard) const
 {
-    if (m_metaState != MetaState::Agreed) {
-        return m_metaFailures >= m_settings.failuresUntilAway;
+    if (m_metaState != MetaState::Matches) {
+        return m_metaFailures >= m_settings.failuresUntilUnavailable;
     }
     const auto it = m_writers.find(shard);
-    return it != m_writers.end() && it->second->isStoreAway();
+    return it != m_writers.end() && it->second->isStoreUnavailable();
 }
 
 bool Ledger::isIdle() const
@@ -122,20 +122,20 @@
            });
 }
 
-void Ledger::whenChecked(std::function<void()> action)
+void Ledger::whenMetaChecked(std::function<void()> action)
 {
-    if (m_metaState == MetaState::Agreed || m_metaState == MetaState::Differs) {
+    if (m_metaState == MetaState::Matches || m_metaState == MetaState::Differs) {
         return action();
     }
     m_waiting.push_back(std::move(action));
     if (m_metaState == MetaState::Unknown) {
-        askMeta();
+        readMeta();
     }
 }
 
-void Ledger::askMeta()
+void Ledger::readMeta()
 {
-    m_metaState = MetaState::Asking;
+    m_metaState = MetaState::Reading;
     m_calls.acquire([this] {
         m_store.get(kLedgerMetaKey,
                     [this, alive = std::weak_ptr<int>(m_alive)](const absl::StatusOr<StoredObject> &object) {
@@ -166,7 +166,7 @@
                         // Whatever the answer is, what the object holds now is what counts: another may have written it
                         // first.
                         if (!alive.expired()) {
-                            askMeta();
+                            readMeta();
                         }
                     });
     });
@@ -186,7 +186,7 @@
                                    "the ledger has " + json[kShardCountField].dump() + " shards, the settings say "
                                        + std::to_string(m_settings.shardCount));
     } else {
-        m_metaState = MetaState::Agreed;
+        m_metaState = MetaState::Matches;
     }
     runWaiting();
 }
@@ -194,16 +194,16 @@
 void Ledger::retryMeta()
 {
     ++m_metaFailures;
-    if (m_metaFailures == m_settings.failuresUntilAway && m_onAway) {
+    if (m_metaFailures == m_settings.failuresUntilUnavailable && m_onStoreState) {
         for (std::uint32_t shard = 0; shard < m_settings.shardCount; ++shard) {
-            m_onAway(shard, true);
+            m_onStoreState(shard, true);
         }
     }
     const int doublings = std::min(m_metaFailures - 1, kMaximumDoublings);
     const Duration whole = std::min(m_settings.longestBackoff, m_settings.firstBackoff * (1 << doublings));
     const Duration jitter(static_cast<Duration::rep>(m_random.below(whole.count() / 2 + 1)));
     m_metaTimer = m_timers.after(whole / 2 + jitter, [this] {
-        askMeta();
+        readMeta();
     });
 }
 
@@ -220,9 +220,9 @@
     std::unique_ptr<ShardWriter> &writer = m_writers[shard];
     if (!writer) {
         const LedgerPorts ports{m_store, m_timers, m_random, m_calls};
-        const auto onAway = [this, shard](bool isAway) {
-            if (m_onAway) {
-                m_onAway(shard, isAway);
+        const auto onStoreState = [this, shard](bool isUnavailable) {
+            if (m_onStoreState) {
+                m_onStoreState(shard, isUnavailable);
             }
         };
         const auto onRound = [this, shard] {
@@ -230,7 +230,7 @@
                 m_onRound(shard);
             }
         };
-        writer = std::make_unique<ShardWriter>(shard, ports, m_settings, onAway, onRound);
+        writer = std::make_unique<ShardWriter>(shard, ports, m_settings, onStoreState, onRound);
     }
     return *writer;
 }
--- a/src/libradishswitch/budgets/ledger.h
+++ b/src/libradishswitch/budgets/ledger.h
@@ -17,7 +17,7 @@
 class Ledger
 {
 public:
-    using AwayCallback = std::function<void(std::uint32_t shard, bool isAway)>;
+    using StoreStateCallback = std::function<void(std::uint32_t shard, bool isUnavailable)>;
     using RoundCallback = std::function<void(std::uint32_t shard)>;
     template<typename T>
     using Callback = std::function<void(absl::StatusOr<T>)>;
@@ -29,7 +29,7 @@
     Ledger &operator=(const Ledger &) = delete;
 
     /// Calls back when the store is found away or back, for one shard.
-    void setAwayCallback(AwayCallback callback);
+    void setStoreStateCallback(StoreStateCallback callback);
 
     /// Calls back when a shard is about to be read or written: what is submitted to it then costs no call of its own.
     void setRoundCallback(RoundCallback callback);
@@ -47,13 +47,13 @@
                 ShardWriter::Callback callback);
 
     /// A request waits by now for what was submitted to this shard.
-    void hurry(std::uint32_t shard);
+    void expedite(std::uint32_t shard);
 
     /// Reads a shard as it is now; an empty one when there is no such object. StoreUnavailable, StoreTimeout,
     /// ObjectMalformed, InvalidSettings.
     void readShard(std::uint32_t shard, Callback<LedgerShard> callback);
 
-    bool isStoreAway(std::uint32_t shard) const;
+    bool isStoreUnavailable(std::uint32_t shard) const;
 
     /// No change waits or is being written.
     bool isIdle() const;
@@ -61,20 +61,20 @@
 private:
     enum class MetaState {
         Unknown,
-        Asking,
-        Agreed,
+        Reading,
+        Matches,
         Differs,
     };
 
     /// Runs `action` once the shard count is known to agree, or to differ.
-    void whenChecked(std::function<void()> action);
-    void askMeta();
+    void whenMetaChecked(std::function<void()> action);
+    void readMeta();
     void handleMeta(const absl::StatusOr<StoredObject> &object);
     void createMeta();
     void compareMeta(const std::string &value);
     void retryMeta();
     void runWaiting();
-    void doRead(std::uint32_t shard, Callback<LedgerShard> callback);
+    void readObject(std::uint32_t shard, Callback<LedgerShard> callback);
     ShardWriter &writer(std::uint32_t shard);
 
     ObjectStore &m_store;
@@ -82,7 +82,7 @@
     RandomSource &m_random;
     LedgerSettings m_settings;
     StoreCallBudget m_calls;
-    AwayCallback m_onAway;
+    StoreStateCallback m_onStoreState;
     RoundCallback m_onRound;
     absl::flat_hash_map<std::uint32_t, std::unique_ptr<ShardWriter>> m_writers;
     MetaState m_metaState = MetaState::Unknown;
--- a/src/libradishswitch/budgets/ledgersettings.h
+++ b/src/libradishswitch/budgets/ledgersettings.h
@@ -27,11 +27,11 @@
     Duration firstBackoff = std::chrono::milliseconds(50);
     Duration longestBackoff = std::chrono::seconds(10);
     /// Failed calls in a row after which the store counts as away.
-    int failuresUntilAway = 2;
+    int failuresUntilUnavailable = 2;
     /// Whether a writer begins its next round with the shard as it wrote it last, and reads only when another has
     /// written since. Saves half of the calls where one process writes a shard; costs a refused write each time where
     /// several do.
-    bool keepsShards = false;
+    bool cachesShards = false;
     /// Greatest size of an object's value, in bytes.
     std::size_t objectLimit = 1'000'000;
 
--- a/src/libradishswitch/budgets/ledgershard.cpp
+++ b/src/libradishswitch/budgets/ledgershard.cpp
@@ -27,7 +27,7 @@
 
 }
 
-bool isKeepableName(const std::string &name)
+bool isStorableName(const std::string &name)
 {
     if (name.empty() || name.size() > kMaximumNameLength) {
         return false;
@@ -62,7 +62,7 @@
 absl::StatusOr<bool> LedgerShard::create(const BudgetId &budget)
 {
     const std::string &organisation = budget.organisation.value();
-    if (!isKeepableName(organisation) || !isKeepableName(budget.name) || organisation.find('/') != std::string::npos) {
+    if (!isStorableName(organisation) || !isStorableName(budget.name) || organisation.find('/') != std::string::npos) {
         return makeFailure(FailureCode::InvalidRequest, "not a budget's name");
     }
     const bool isNew = m_budgets.emplace(budget, BudgetRecord()).second;
--- a/src/libradishswitch/budgets/ledgershard.h
+++ b/src/libradishswitch/budgets/ledgershard.h
@@ -10,7 +10,7 @@
 {
 
 /// Whether a name can be kept in a shard unchanged: 1 to 200 bytes of UTF-8 without control characters.
-bool isKeepableName(const std::string &name);
+bool isStorableName(const std::string &name);
 
 /// Who did what to a budget, kept in the same object as the budget itself.
 struct LedgerAuditEntry {
--- a/src/libradishswitch/budgets/portioncloser.cpp
+++ b/src/libradishswitch/budgets/portioncloser.cpp
@@ -71,7 +71,7 @@
         return scheduleRound(job, m_settings.longestPause);
     }
     job->isBegun = true;
-    for (const BeginCloseChange::Found &it : change.found()) {
+    for (const BeginCloseChange::ClosingPortion &it : change.portions()) {
         Closing &closing = job->portions[it.portion];
         closing.budget = it.budget;
         closing.granted = it.record.granted;
@@ -79,12 +79,12 @@
         closing.takenAtMilliseconds = it.record.takenAtMilliseconds;
     }
     if (job->portions.empty()) {
-        tell(*job);
+        reportProgress(*job);
         std::erase(m_jobs, job);
         return;
     }
-    const Duration listening = m_settings.listeningTime - (m_timers.now() - m_startedAt);
-    scheduleRound(job, std::max(listening, Duration::zero()));
+    const Duration discovery = m_settings.discoveryTime - (m_timers.now() - m_startedAt);
+    scheduleRound(job, std::max(discovery, Duration::zero()));
 }
 
 void PortionCloser::startRound(const JobPointer &job)
@@ -96,12 +96,12 @@
     for (const std::string &agent : job->agents) {
         const std::vector<PortionId> portions = portionsToAsk(*job, agent);
         if (!portions.empty()) {
-            job->asked.insert(agent);
+            job->awaitedAgents.insert(agent);
             ask(job, agent, portions);
         }
     }
-    if (job->asked.empty()) {
-        judge(job);
+    if (job->awaitedAgents.empty()) {
+        evaluate(job);
     }
 }
 
@@ -129,36 +129,36 @@
                                   const absl::StatusOr<std::vector<PortionCharges>> &charges)
 {
     if (charges.ok()) {
-        job->silentSince.erase(agent);
+        job->unreachableSince.erase(agent);
         for (const PortionCharges &it : *charges) {
             if (const auto found = job->portions.find(it.portion); found != job->portions.end()) {
                 found->second.proof.add(agent, it);
             }
         }
     } else {
-        job->silentSince.try_emplace(agent, m_timers.now());
+        job->unreachableSince.try_emplace(agent, m_timers.now());
     }
-    job->asked.erase(agent);
-    if (job->asked.empty()) {
-        judge(job);
+    job->awaitedAgents.erase(agent);
+    if (job->awaitedAgents.empty()) {
+        evaluate(job);
     }
 }
 
-void PortionCloser::judge(const JobPointer &job)
+void PortionCloser::evaluate(const JobPointer &job)
 {
     for (auto &[id, closing] : job->portions) {
         if (closing.stage == Stage::Proving) {
-            judgePortion(job, id, closing);
+            evaluatePortion(job, id, closing);
         }
     }
     scheduleRound(job, drawPause(job->rounds));
 }
 
-void PortionCloser::judgePortion(const JobPointer &job, const PortionId &portion, Closing &closing)
+void PortionCloser::evaluatePortion(const JobPointer &job, const PortionId &portion, Closing &closing)
 {
     const std::set<std::string> missing = missingAgents(*job, closing);
     if (!missing.empty() || job->agents.empty()) {
-        if (isPatienceOver(*job, missing)) {
+        if (isWithholdDelayOver(*job, missing)) {
             withhold(job, portion, closing, missing.empty() ? "no agent is known" : "agents could not be asked",
                      missing);
         }
@@ -194,15 +194,15 @@
 {
     std::set<std::string> missing;
     for (const std::string &agent : job.agents) {
-        const bool isSilent = job.silentSince.contains(agent);
-        if (!closing.proof.hasAnswerOf(agent) || (isSilent && closing.proof.hasRunsAt(agent))) {
+        const bool isUnreachable = job.unreachableSince.contains(agent);
+        if (!closing.proof.hasAnswerOf(agent) || (isUnreachable && closing.proof.hasRunsAt(agent))) {
             missing.insert(agent);
         }
     }
     return missing;
 }
 
-bool PortionCloser::isPatienceOver(const Job &job, const std::set<std::string> &missing) const
+bool PortionCloser::isWithholdDelayOver(const Job &job, const std::set<std::string> &missing) const
 {
     const Instant limit = m_timers.now() - m_settings.withholdAfter;
     if (missing.empty()) {
@@ -210,8 +210,8 @@
         return job.startedAt <= limit;
     }
     return std::any_of(missing.begin(), missing.end(), [&](const std::string &agent) {
-        const auto it = job.silentSince.find(agent);
-        return it != job.silentSince.end() && it->second <= limit;
+        const auto it = job.unreachableSince.find(agent);
+        return it != job.unreachableSince.end() && it->second <= limit;
     });
 }
 
@@ -236,7 +236,7 @@
 {
     if (status.ok()) {
         ++job->closed;
-        return settled(job, portion);
+        return removeSettled(job, portion);
     }
     job->portions.at(portion).stage = Stage::Proving;
     scheduleRound(job, drawPause(job->rounds));
@@ -248,16 +248,16 @@
 {
     const std::int64_t proved = std::clamp(closing.proof.provedTokens(), closing.reported, closing.granted);
     closing.granted = std::min(closing.granted, unproved ? proved + *unproved : closing.granted);
-    if (closing.isWithheld && closing.withheldProved == proved && closing.withheldFor == missing) {
+    if (closing.isWithheld && closing.withheldProved == proved && closing.withheldMissingAgents == missing) {
         return;
     }
     closing.isWithheld = true;
     closing.withheldProved = proved;
-    closing.withheldFor = missing;
+    closing.withheldMissingAgents = missing;
     const std::vector<std::string> agents(missing.begin(), missing.end());
     const auto change = std::make_shared<WithholdChange>(closing.budget, portion, proved, unproved, reason, agents);
     m_ledger.submit(closing.budget, change, Urgency::Urgent, guarded([this, job](const absl::Status &) {
-                        tell(*job);
+                        reportProgress(*job);
                     }));
 }
 
@@ -283,17 +283,17 @@
     return whole / 2 + Duration(static_cast<Duration::rep>(m_random.below(whole.count() / 2 + 1)));
 }
 
-void PortionCloser::settled(const JobPointer &job, const PortionId &portion)
+void PortionCloser::removeSettled(const JobPointer &job, const PortionId &portion)
 {
     job->portions.erase(portion);
-    tell(*job);
+    reportProgress(*job);
     if (job->portions.empty()) {
         m_timers.cancel(job->timer);
         std::erase(m_jobs, job);
     }
 }
 
-void PortionCloser::tell(const Job &job)
+void PortionCloser::reportProgress(const Job &job)
 {
     CloseReport report;
     report.closed = job.closed;
--- a/src/libradishswitch/budgets/portioncloser.h
+++ b/src/libradishswitch/budgets/portioncloser.h
@@ -73,7 +73,7 @@
         PortionProof proof;
         bool isWithheld = false;
         std::int64_t withheldProved = 0;
-        std::set<std::string> withheldFor;
+        std::set<std::string> withheldMissingAgents;
     };
 
     struct Job {
@@ -86,8 +86,8 @@
         /// Every agent ever heard of during the job: one that has left the list may still hold runs.
         std::set<std::string> agents;
         /// Agents that did not answer when they were last asked, and since when.
-        std::map<std::string, Instant> silentSince;
-        std::set<std::string> asked;
+        std::map<std::string, Instant> unreachableSince;
+        std::set<std::string> awaitedAgents;
         std::size_t closed = 0;
         int rounds = 0;
         TimerId timer = 0;
@@ -102,10 +102,10 @@
     void ask(const JobPointer &job, const std::string &agent, const std::vector<PortionId> &portions);
     void handleCharges(const JobPointer &job, const std::string &agent,
                        const absl::StatusOr<std::vector<PortionCharges>> &charges);
-    void judge(const JobPointer &job);
-    void judgePortion(const JobPointer &job, const PortionId &portion, Closing &closing);
+    void evaluate(const JobPointer &job);
+    void evaluatePortion(const JobPointer &job, const PortionId &portion, Closing &closing);
     std::set<std::string> missingAgents(const Job &job, const Closing &closing) const;
-    bool isPatienceOver(const Job &job, const std::set<std::string> &missing) const;
+    bool isWithholdDelayOver(const Job &job, const std::set<std::string> &missing) const;
     bool hasRuns(const Job &job, const Closing &closing) const;
     void finish(const JobPointer &job, const PortionId &portion, Closing &closing);
     void handleFinished(const JobPointer &job, const PortionId &portion, const absl::Status &status);
@@ -115,8 +115,8 @@
     Duration ageOf(const Closing &closing) const;
     void scheduleRound(const JobPointer &job, Duration delay);
     Duration drawPause(int rounds);
-    void settled(const JobPointer &job, const PortionId &portion);
-    void tell(const Job &job);
+    void removeSettled(const JobPointer &job, const PortionId &portion);
+    void reportProgress(const Job &job);
 
     /// Wraps a handler so that it does nothing once the closer is gone.
     template<typename Handler>
--- a/src/libradishswitch/budgets/portionsweep.cpp
+++ b/src/libradishswitch/budgets/portionsweep.cpp
@@ -5,11 +5,11 @@
 namespace RadishSwitch
 {
 
-PortionSweep::PortionSweep(Ledger &ledger, PortionCloser &closer, const HolderWatch &watch, TimerService &timers,
+PortionSweep::PortionSweep(Ledger &ledger, PortionCloser &closer, const HolderDirectory &holders, TimerService &timers,
                            RandomSource &random, PortionSweepSettings settings)
     : m_ledger(ledger)
     , m_closer(closer)
-    , m_watch(watch)
+    , m_holders(holders)
     , m_timers(timers)
     , m_random(random)
     , m_settings(settings)
@@ -36,24 +36,24 @@
 
 void PortionSweep::sweep()
 {
-    for (const std::uint32_t shard : m_watch.homeShards()) {
-        lookLater(shard);
+    for (const std::uint32_t shard : m_holders.homeShards()) {
+        scheduleInspection(shard);
     }
 }
 
 // Spread over the recheck interval: a death is seen by all homes at the same moment, and their reads would come at the
 // store together.
-void PortionSweep::lookLater(std::uint32_t shard)
+void PortionSweep::scheduleInspection(std::uint32_t shard)
 {
     const Duration delay(static_cast<Duration::rep>(m_random.below(m_settings.recheck.count())));
     m_timers.after(delay, [this, shard, alive = std::weak_ptr<int>(m_alive)] {
         if (!alive.expired()) {
-            look(shard);
+            inspect(shard);
         }
     });
 }
 
-void PortionSweep::look(std::uint32_t shard)
+void PortionSweep::inspect(std::uint32_t shard)
 {
     m_ledger.readShard(shard, [this, shard, alive = std::weak_ptr<int>(m_alive)](auto object) {
         if (!alive.expired()) {
@@ -71,9 +71,9 @@
     std::set<IncarnationId> dead;
     for (const auto &[budget, record] : object->budgets()) {
         for (const auto &[id, portion] : record.portions()) {
-            const HolderStanding standing = m_watch.standingOf(portion.holder);
-            isMissing = isMissing || standing == HolderStanding::Missing;
-            if (standing == HolderStanding::Dead) {
+            const HolderState standing = m_holders.stateOf(portion.holder);
+            isMissing = isMissing || standing == HolderState::Missing;
+            if (standing == HolderState::Dead) {
                 dead.insert(portion.holder);
             }
         }
@@ -84,7 +84,7 @@
     if (isMissing) {
         m_timers.after(m_settings.recheck, [this, shard, alive = std::weak_ptr<int>(m_alive)] {
             if (!alive.expired()) {
-                look(shard);
+                inspect(shard);
             }
         });
     }
--- a/src/libradishswitch/budgets/portionsweep.h
+++ b/src/libradishswitch/budgets/portionsweep.h
@@ -12,7 +12,7 @@
 namespace RadishSwitch
 {
 
-enum class HolderStanding {
+enum class HolderState {
     Alive,
     /// Not heard of just now; may be dead soon, or may come back.
     Missing,
@@ -20,12 +20,12 @@
 };
 
 /// What this process knows of the holders of portions, and which shards are its to look after.
-class HolderWatch
+class HolderDirectory
 {
 public:
-    virtual ~HolderWatch() = default;
+    virtual ~HolderDirectory() = default;
 
-    virtual HolderStanding standingOf(const IncarnationId &holder) const = 0;
+    virtual HolderState stateOf(const IncarnationId &holder) const = 0;
 
     /// The shards whose home this process is.
     virtual std::vector<std::uint32_t> homeShards() const = 0;
@@ -46,7 +46,7 @@
 class PortionSweep
 {
 public:
-    PortionSweep(Ledger &ledger, PortionCloser &closer, const HolderWatch &watch, TimerService &timers,
+    PortionSweep(Ledger &ledger, PortionCloser &closer, const HolderDirectory &holders, TimerService &timers,
                  RandomSource &random, PortionSweepSettings settings = {});
     ~PortionSweep();
 
@@ -60,13 +60,13 @@
 
 private:
     void sweep();
-    void look(std::uint32_t shard);
+    void inspect(std::uint32_t shard);
     void handleShard(std::uint32_t shard, const absl::StatusOr<LedgerShard> &object);
-    void lookLater(std::uint32_t shard);
+    void scheduleInspection(std::uint32_t shard);
 
     Ledger &m_ledger;
     PortionCloser &m_closer;
-    const HolderWatch &m_watch;
+    const HolderDirectory &m_holders;
     TimerService &m_timers;
     RandomSource &m_random;
     const PortionSweepSettings m_settings;
--- a/src/libradishswitch/budgets/reportspendchange.cpp
+++ b/src/libradishswitch/budgets/reportspendchange.cpp
@@ -17,7 +17,7 @@
     const absl::Status status = shard.change(m_budget, [&](BudgetRecord &it) {
         return it.reportSpend(m_portion, m_spent);
     });
-    m_glance = glanceAt(shard, m_budget);
+    m_snapshot = snapshotOf(shard, m_budget);
     return status;
 }
 
@@ -26,9 +26,9 @@
     return "report spending of " + m_portion.value() + " of " + m_budget.toString();
 }
 
-const BudgetGlance &ReportSpendChange::glance() const
+const BudgetSnapshot &ReportSpendChange::snapshot() const
 {
-    return m_glance;
+    return m_snapshot;
 }
 
 }
--- a/src/libradishswitch/budgets/reportspendchange.h
+++ b/src/libradishswitch/budgets/reportspendchange.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "budgets/budgetglance.h"
+#include "budgets/budgetsnapshot.h"
 #include "budgets/ledgerchange.h"
 
 namespace RadishSwitch
@@ -17,13 +17,13 @@
     std::string describe() const override;
 
     /// How the budget stood when the change was applied.
-    const BudgetGlance &glance() const;
+    const BudgetSnapshot &snapshot() const;
 
 private:
     BudgetId m_budget;
     PortionId m_portion;
     std::int64_t m_spent;
-    BudgetGlance m_glance;
+    BudgetSnapshot m_snapshot;
 };
 
 }
--- a/src/libradishswitch/budgets/returnportionchange.cpp
+++ b/src/libradishswitch/budgets/returnportionchange.cpp
@@ -30,7 +30,7 @@
         if (m_isWhole) {
             return it.returnPortion(m_portion, m_spent);
         }
-        return it.surrender(m_portion, m_sequence, m_spent, m_keep);
+        return it.returnPart(m_portion, m_sequence, m_spent, m_keep);
     });
 }
 
--- a/src/libradishswitch/budgets/shardcollector.cpp
+++ b/src/libradishswitch/budgets/shardcollector.cpp
@@ -49,9 +49,9 @@
     for (const std::string &address : present) {
         if (!m_agents.contains(address)) {
             m_agents.emplace(address,
-                             Agent{AgentState::Asked, Backoff(m_settings.firstBackoff, m_settings.lastBackoff)});
+                             Agent{AgentState::Queried, Backoff(m_settings.firstBackoff, m_settings.lastBackoff)});
             ++m_open;
-            ask(address);
+            query(address);
         }
     }
     if (erased > 0) {
@@ -59,13 +59,13 @@
     }
 }
 
-bool ShardCollector::isHolding() const
+bool ShardCollector::isHoldingRequests() const
 {
     if (m_isReleased) {
         return false;
     }
     return m_agents.empty() || std::any_of(m_agents.begin(), m_agents.end(), [this](const auto &item) {
-               return item.second.state == AgentState::Asked && !m_agentPort.isGone(item.first);
+               return item.second.state == AgentState::Queried && !m_agentPort.isGone(item.first);
            });
 }
 
@@ -77,7 +77,7 @@
 
 bool ShardCollector::isOpen(AgentState state)
 {
-    return state == AgentState::Asked || state == AgentState::Unreachable;
+    return state == AgentState::Queried || state == AgentState::Unreachable;
 }
 
 void ShardCollector::setState(Agent &agent, AgentState state)
@@ -87,21 +87,21 @@
     m_open += isOpen(agent.state) ? 1 : 0;
 }
 
-void ShardCollector::ask(const std::string &address)
+void ShardCollector::query(const std::string &address)
 {
     m_agentPort.findRuns(address, {}, m_shard, m_epoch, m_life.guard([this, address](const auto &runs) {
-        finishAsking(address, runs);
+        handleRuns(address, runs);
     }));
 }
 
-void ShardCollector::finishAsking(const std::string &address, const absl::StatusOr<std::vector<RunRecord>> &runs)
+void ShardCollector::handleRuns(const std::string &address, const absl::StatusOr<std::vector<RunRecord>> &runs)
 {
     const auto it = m_agents.find(address);
     if (it == m_agents.end()) {
         return;
     }
     if (!runs.ok()) {
-        askAgainLater(address, it->second);
+        retryLater(address, it->second);
         if (failureCode(runs.status()) == FailureCode::StaleEpoch) {
             return m_events.deposed();
         }
@@ -112,20 +112,20 @@
         record.agentAddress = address;
         m_events.found(record);
     }
-    if (!isHolding()) {
+    if (!isHoldingRequests()) {
         m_isReleased = true;
     }
     m_events.changed();
 }
 
-void ShardCollector::askAgainLater(const std::string &address, Agent &agent)
+void ShardCollector::retryLater(const std::string &address, Agent &agent)
 {
     setState(agent, m_agentPort.isGone(address) ? AgentState::Dead : AgentState::Unreachable);
     agent.retryTimer = m_timers.after(agent.backoff.next(m_random), m_life.guard([this, address] {
         const auto it = m_agents.find(address);
         if (it != m_agents.end()) {
             it->second.retryTimer = 0;
-            ask(address);
+            query(address);
         }
     }));
 }
--- a/src/libradishswitch/budgets/shardcollector.h
+++ b/src/libradishswitch/budgets/shardcollector.h
@@ -31,7 +31,7 @@
     struct Events {
         /// An agent told of a run.
         std::function<void(const RunRecord &)> found;
-        /// `isHolding` or `isComplete` may have changed.
+        /// `isHoldingRequests` or `isComplete` may have changed.
         std::function<void()> changed;
         /// An agent knows of a later owner.
         std::function<void()> deposed;
@@ -48,14 +48,14 @@
     void refresh();
 
     /// Whether requests must wait: agents that may yet answer have not, and the limit has not come.
-    bool isHolding() const;
+    bool isHoldingRequests() const;
 
     /// Whether every agent has answered, but for the dead.
     bool isComplete() const;
 
 private:
     enum class AgentState {
-        Asked,
+        Queried,
         Unreachable,
         /// Not to be asked, and not in the platform's list: what it knew is lost.
         Dead,
@@ -63,14 +63,14 @@
     };
 
     struct Agent {
-        AgentState state = AgentState::Asked;
+        AgentState state = AgentState::Queried;
         Backoff backoff;
         TimerId retryTimer = 0;
     };
 
-    void ask(const std::string &address);
-    void finishAsking(const std::string &address, const absl::StatusOr<std::vector<RunRecord>> &runs);
-    void askAgainLater(const std::string &address, Agent &agent);
+    void query(const std::string &address);
+    void handleRuns(const std::string &address, const absl::StatusOr<std::vector<RunRecord>> &runs);
+    void retryLater(const std::string &address, Agent &agent);
     void setState(Agent &agent, AgentState state);
     static bool isOpen(AgentState state);
 
--- a/src/libradishswitch/budgets/shardwriter.cpp
+++ b/src/libradishswitch/budgets/shardwriter.cpp
@@ -18,11 +18,11 @@
 }
 
 ShardWriter::ShardWriter(std::uint32_t shard, const LedgerPorts &ports, const LedgerSettings &settings,
-                         AwayCallback onAway, RoundCallback onRound)
+                         StoreStateCallback onStoreState, RoundCallback onRound)
     : m_key(ledgerShardKey(shard))
     , m_ports(ports)
     , m_settings(settings)
-    , m_onAway(std::move(onAway))
+    , m_onStoreState(std::move(onStoreState))
     , m_onRound(std::move(onRound))
 {
 }
@@ -40,7 +40,7 @@
     }
 }
 
-void ShardWriter::hurry()
+void ShardWriter::expedite()
 {
     if (!m_isRunning && !m_queue.empty()) {
         schedule(m_settings.urgentDelay);
@@ -60,9 +60,9 @@
     return m_settings.relaxedDelay;
 }
 
-bool ShardWriter::isStoreAway() const
+bool ShardWriter::isStoreUnavailable() const
 {
-    return m_isAway;
+    return m_isUnavailable;
 }
 
 bool ShardWriter::isIdle() const
@@ -90,18 +90,18 @@
     m_onRound();
     m_ports.calls.acquire([this, alive = std::weak_ptr<int>(m_alive)] {
         if (!alive.expired()) {
-            m_kept ? applyKept() : read();
+            m_cached ? applyToCached() : read();
         }
     });
 }
 
-void ShardWriter::applyKept()
+void ShardWriter::applyToCached()
 {
     // Taken out for this round: whatever becomes of the write, only a success brings it back.
-    LedgerShard shard = *std::exchange(m_kept, std::nullopt);
+    LedgerShard shard = *std::exchange(m_cached, std::nullopt);
     shard.clearModified();
-    m_isFromKept = true;
-    applyBatch(m_keptVersion, std::move(shard));
+    m_isFromCache = true;
+    applyBatch(m_cachedVersion, std::move(shard));
 }
 
 bool ShardWriter::hasFailures() const
@@ -119,7 +119,7 @@
 void ShardWriter::handleRead(const absl::StatusOr<StoredObject> &object)
 {
     if (object.ok()) {
-        noteContact();
+        noteStoreReachable();
         absl::StatusOr<LedgerShard> shard = LedgerShard::fromJson(object->value);
         if (!shard.ok()) {
             return failBatch(shard.status());
@@ -127,7 +127,7 @@
         return applyBatch(object->version, *std::move(shard));
     }
     if (failureCode(object.status()) == FailureCode::ObjectMissing) {
-        noteContact();
+        noteStoreReachable();
         return applyBatch(0, LedgerShard());
     }
     retryAfterFailure();
@@ -135,16 +135,16 @@
 
 void ShardWriter::applyBatch(std::uint64_t version, LedgerShard shard)
 {
-    takeWaiting();
+    takeQueued();
     for (Pending &it : m_batch) {
         it.status = it.change->apply(shard);
     }
-    if (std::exchange(m_isFromKept, false) && (!shard.isModified() || hasFailures())) {
+    if (std::exchange(m_isFromCache, false) && (!shard.isModified() || hasFailures())) {
         // What a kept shard says is proved by a conditional write alone; others may have written since.
         return read();
     }
     if (!shard.isModified()) {
-        keep(version, std::move(shard));
+        cacheShard(version, std::move(shard));
         return finish();
     }
     std::string value = shard.toJson();
@@ -159,7 +159,7 @@
     });
 }
 
-void ShardWriter::takeWaiting()
+void ShardWriter::takeQueued()
 {
     const std::size_t room = !m_isOneByOne ? m_queue.size() : m_batch.empty() ? 1 : 0;
     const auto end = m_queue.begin() + static_cast<std::ptrdiff_t>(std::min(room, m_queue.size()));
@@ -176,8 +176,8 @@
 void ShardWriter::handleWritten(const absl::StatusOr<std::uint64_t> &version)
 {
     if (version.ok()) {
-        noteContact();
-        keep(*version, std::move(m_written));
+        noteStoreReachable();
+        cacheShard(*version, std::move(m_written));
         return finish();
     }
     switch (failureCode(version.status())) {
@@ -193,12 +193,12 @@
     }
 }
 
-void ShardWriter::keep(std::uint64_t version, LedgerShard shard)
+void ShardWriter::cacheShard(std::uint64_t version, LedgerShard shard)
 {
     // Where others write too, a round that begins with the kept shard mostly costs a refused write.
-    if (m_settings.keepsShards && version != 0 && m_conflicts == 0) {
-        m_kept = std::move(shard);
-        m_keptVersion = version;
+    if (m_settings.cachesShards && version != 0 && m_conflicts == 0) {
+        m_cached = std::move(shard);
+        m_cachedVersion = version;
     }
 }
 
@@ -227,23 +227,23 @@
 void ShardWriter::retryAfterFailure()
 {
     ++m_failures;
-    if (m_failures >= m_settings.failuresUntilAway) {
-        setAway(true);
+    if (m_failures >= m_settings.failuresUntilUnavailable) {
+        setUnavailable(true);
     }
     schedule(drawBackoff());
 }
 
-void ShardWriter::noteContact()
+void ShardWriter::noteStoreReachable()
 {
     m_failures = 0;
-    setAway(false);
+    setUnavailable(false);
 }
 
-void ShardWriter::setAway(bool isAway)
+void ShardWriter::setUnavailable(bool isUnavailable)
 {
-    if (m_isAway != isAway) {
-        m_isAway = isAway;
-        m_onAway(isAway);
+    if (m_isUnavailable != isUnavailable) {
+        m_isUnavailable = isUnavailable;
+        m_onStoreState(isUnavailable);
     }
 }
 
--- a/src/libradishswitch/budgets/shardwriter.h
+++ b/src/libradishswitch/budgets/shardwriter.h
@@ -42,12 +42,12 @@
 {
 public:
     using Callback = std::function<void(const absl::Status &)>;
-    using AwayCallback = std::function<void(bool isAway)>;
+    using StoreStateCallback = std::function<void(bool isUnavailable)>;
     using RoundCallback = std::function<void()>;
 
     /// `onRound` is called when a round begins; what is submitted inside it goes out with that round.
     ShardWriter(
-        std::uint32_t shard, const LedgerPorts &ports, const LedgerSettings &settings, AwayCallback onAway,
+        std::uint32_t shard, const LedgerPorts &ports, const LedgerSettings &settings, StoreStateCallback onStoreState,
         RoundCallback onRound = [] {});
     ~ShardWriter();
 
@@ -59,10 +59,10 @@
     void submit(std::shared_ptr<LedgerChange> change, Urgency urgency, Callback callback);
 
     /// A request waits by now for what was submitted: it no longer rides along but goes out.
-    void hurry();
+    void expedite();
 
     /// Whether several calls in a row have failed.
-    bool isStoreAway() const;
+    bool isStoreUnavailable() const;
 
     /// Nothing waits and nothing runs.
     bool isIdle() const;
@@ -78,19 +78,19 @@
     void schedule(Duration delay);
     void begin();
     void read();
-    void applyKept();
+    void applyToCached();
     bool hasFailures() const;
-    void keep(std::uint64_t version, LedgerShard shard);
+    void cacheShard(std::uint64_t version, LedgerShard shard);
     void handleRead(const absl::StatusOr<StoredObject> &object);
     void applyBatch(std::uint64_t version, LedgerShard shard);
-    void takeWaiting();
+    void takeQueued();
     void write(std::uint64_t version, std::string value);
     void handleWritten(const absl::StatusOr<std::uint64_t> &version);
     void handleTooLarge();
     void retryAfterConflict();
     void retryAfterFailure();
-    void noteContact();
-    void setAway(bool isAway);
+    void noteStoreReachable();
+    void setUnavailable(bool isUnavailable);
     Duration drawBackoff();
     void finish();
     void failBatch(const absl::Status &status);
@@ -102,22 +102,22 @@
     std::string m_key;
     LedgerPorts m_ports;
     LedgerSettings m_settings;
-    AwayCallback m_onAway;
+    StoreStateCallback m_onStoreState;
     RoundCallback m_onRound;
     std::vector<Pending> m_queue;
     std::vector<Pending> m_batch;
     /// The shard as it was written last, where it is kept.
-    std::optional<LedgerShard> m_kept;
-    std::uint64_t m_keptVersion = 0;
+    std::optional<LedgerShard> m_cached;
+    std::uint64_t m_cachedVersion = 0;
     LedgerShard m_written;
     /// The round under way began with the kept shard.
-    bool m_isFromKept = false;
+    bool m_isFromCache = false;
     bool m_isRunning = false;
     TimerId m_timer = 0;
     Instant m_dueAt{};
     int m_failures = 0;
     int m_conflicts = 0;
-    bool m_isAway = false;
+    bool m_isUnavailable = false;
     bool m_isOneByOne = false;
     std::shared_ptr<int> m_alive = std::make_shared<int>(0);
 };
--- a/src/libradishswitch/budgets/takeportionchange.cpp
+++ b/src/libradishswitch/budgets/takeportionchange.cpp
@@ -18,7 +18,7 @@
         m_granted = portion.ok() ? portion->granted : 0;
         return portion.status();
     });
-    m_glance = glanceAt(shard, m_budget);
+    m_snapshot = snapshotOf(shard, m_budget);
     return status;
 }
 
@@ -37,9 +37,9 @@
     return m_granted;
 }
 
-const BudgetGlance &TakePortionChange::glance() const
+const BudgetSnapshot &TakePortionChange::snapshot() const
 {
-    return m_glance;
+    return m_snapshot;
 }
 
 }
--- a/src/libradishswitch/budgets/takeportionchange.h
+++ b/src/libradishswitch/budgets/takeportionchange.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "budgets/budgetglance.h"
+#include "budgets/budgetsnapshot.h"
 #include "budgets/ledgerchange.h"
 
 namespace RadishSwitch
@@ -21,13 +21,13 @@
     std::int64_t granted() const;
 
     /// How the budget stood after the change.
-    const BudgetGlance &glance() const;
+    const BudgetSnapshot &snapshot() const;
 
 private:
     BudgetId m_budget;
     PortionRequest m_request;
     std::int64_t m_granted = 0;
-    BudgetGlance m_glance;
+    BudgetSnapshot m_snapshot;
 };
 
 }
--- a/src/libradishswitch/budgets/tokenuse.cpp
+++ b/src/libradishswitch/budgets/tokenuse.cpp
@@ -27,7 +27,7 @@
 // such portions lasted half as long as they should. So the greater of a short and a long one counts.
 double TokenUse::tokensPerSecond(Instant now, const TokenUseSettings &settings) const
 {
-    const Duration span = observed(now, settings);
+    const Duration span = observedTime(now, settings);
     return std::max(m_tokens.perSecond(now, span, settings.averagingTime),
                     m_longTokens.perSecond(now, span, longTime(settings)));
 }
@@ -38,7 +38,7 @@
 double TokenUse::tokensWithin(Duration span, Instant now, const TokenUseSettings &settings) const
 {
     const double seconds = std::chrono::duration<double>(span).count();
-    const double variance = m_squares.perSecond(now, observed(now, settings), longTime(settings)) * seconds;
+    const double variance = m_squares.perSecond(now, observedTime(now, settings), longTime(settings)) * seconds;
     return tokensPerSecond(now, settings) * seconds + settings.deviations * std::sqrt(variance);
 }
 
@@ -50,7 +50,7 @@
 // The average begins at nothing, and would take a budget that has just come into use for one that is hardly used: its
 // portion would be dry long before the survival time when the store goes away then. So it is set against the weight
 // that it can have gathered so far.
-Duration TokenUse::observed(Instant now, const TokenUseSettings &settings) const
+Duration TokenUse::observedTime(Instant now, const TokenUseSettings &settings) const
 {
     return std::max<Duration>(now - m_since, settings.shortestAverage);
 }
--- a/src/libradishswitch/budgets/tokenuse.h
+++ b/src/libradishswitch/budgets/tokenuse.h
@@ -34,7 +34,7 @@
 
 private:
     static Duration longTime(const TokenUseSettings &settings);
-    Duration observed(Instant now, const TokenUseSettings &settings) const;
+    Duration observedTime(Instant now, const TokenUseSettings &settings) const;
 
     DecayingRate m_tokens;
     DecayingRate m_longTokens;
--- a/src/libradishswitch/budgets/topupchange.cpp
+++ b/src/libradishswitch/budgets/topupchange.cpp
@@ -19,7 +19,7 @@
 
 absl::Status TopUpChange::apply(LedgerShard &shard)
 {
-    if (!isKeepableName(m_payment.value())) {
+    if (!isStorableName(m_payment.value())) {
         return makeFailure(FailureCode::InvalidRequest, "not a payment's id");
     }
     const BudgetRecord *record = shard.find(m_budget);
--- a/src/libradishswitch/requests/grantedrequests.cpp
+++ b/src/libradishswitch/requests/grantedrequests.cpp
@@ -101,7 +101,7 @@
         m_claims.note(known.shard, request, known.grantedAttempt, claimState);
     }
     const bool hasNoAnswer = chargedTokens == 0 && state != RequestState::Done;
-    if (const RunRecord *rival = m_billing.rivalOf(request); rival && hasNoAnswer) {
+    if (const RunRecord *rival = m_billing.competingRunOf(request); rival && hasNoAnswer) {
         m_registry.forget(request);
         m_registry.learn(*rival, known.shard, m_timers.now());
     }
@@ -237,7 +237,7 @@
     if (isOfLaterOwner) {
         return m_shards.ownership().noteStaleEpoch(known.shard, known.epoch);
     }
-    m_billing.noteRival(record);
+    m_billing.noteCompetingRun(record);
     if (record.state != RunState::Running) {
         return;
     }
@@ -258,7 +258,7 @@
     record.chargedTokens = verdict.chargedTokens;
     const KnownRequest *known = m_registry.find(record.request);
     if (known && known->isOwn) {
-        return m_billing.noteRival(record);
+        return m_billing.noteCompetingRun(record);
     }
     if (known && !known->hasEnded()) {
         finishResolving(record.request, verdict);
@@ -273,12 +273,12 @@
 
 std::optional<RunRecord> GrantedRequests::takeRival(const RequestId &request)
 {
-    const RunRecord *rival = m_billing.rivalOf(request);
+    const RunRecord *rival = m_billing.competingRunOf(request);
     if (!rival) {
         return std::nullopt;
     }
     const RunRecord record = *rival;
-    m_billing.forgetRival(request);
+    m_billing.forgetCompetingRun(request);
     m_rivalResolvers.erase(request);
     return record;
 }
--- a/src/libradishswitch/requests/keyshards.cpp
+++ b/src/libradishswitch/requests/keyshards.cpp
@@ -33,7 +33,7 @@
 {
     Shard &state = m_shards[shard];
     const bool isOwned = state.epoch != 0 && m_ownership.epochOf(shard) == state.epoch;
-    if (isOwned && !(state.collector && state.collector->isHolding())) {
+    if (isOwned && !(state.collector && state.collector->isHoldingRequests())) {
         return callback(absl::OkStatus());
     }
     state.waiting.push_back(std::move(callback));
@@ -84,7 +84,7 @@
     if (state.epoch != epoch || !state.collector) {
         return;
     }
-    if (!state.collector->isHolding()) {
+    if (!state.collector->isHoldingRequests()) {
         answerWaiting(shard, absl::OkStatus());
     }
     if (state.collector && state.collector->isComplete()) {
--- a/src/standins/engine/batchscheduler.cpp
+++ b/src/standins/engine/batchscheduler.cpp
@@ -31,7 +31,7 @@
     if (m_running.erase(ticket) == 0) {
         const auto it = m_places.find(ticket);
         if (it != m_places.end()) {
-            takeWaiting(m_waiting.find(it->second));
+            takeQueued(m_waiting.find(it->second));
         }
         return;
     }
@@ -39,7 +39,7 @@
         return;
     }
     const Ticket next = m_waiting.begin()->first.ticket;
-    const std::function<void()> onAdmitted = takeWaiting(m_waiting.begin());
+    const std::function<void()> onAdmitted = takeQueued(m_waiting.begin());
     m_running.insert(next);
     lock.unlock();
     onAdmitted();
@@ -51,7 +51,7 @@
     return BatchLoad{static_cast<int>(m_running.size()), static_cast<int>(m_waiting.size()), m_queuedTokens};
 }
 
-std::function<void()> BatchScheduler::takeWaiting(std::map<Place, Waiting>::iterator it)
+std::function<void()> BatchScheduler::takeQueued(std::map<Place, Waiting>::iterator it)
 {
     std::function<void()> onAdmitted = std::move(it->second.onAdmitted);
     m_queuedTokens -= it->second.tokens;
--- a/src/standins/engine/batchscheduler.h
+++ b/src/standins/engine/batchscheduler.h
@@ -52,7 +52,7 @@
         std::function<void()> onAdmitted;
     };
 
-    std::function<void()> takeWaiting(std::map<Place, Waiting>::iterator it);
+    std::function<void()> takeQueued(std::map<Place, Waiting>::iterator it);
 
     mutable std::mutex m_mutex;
     int m_slots;
--- a/tests/core/budgets/budgetholder_test.cpp
+++ b/tests/core/budgets/budgetholder_test.cpp
@@ -9,22 +9,22 @@
 class RecordingListener : public BudgetHolderListener
 {
 public:
-    void handleRunDry(const BudgetId &, const BudgetGlance &glance) override
+    void handleExhausted(const BudgetId &, const BudgetSnapshot &snapshot) override
     {
-        dry.push_back(glance);
+        dry.push_back(snapshot);
     }
 
-    void handleTaken(const BudgetId &, const HeldPortion &, std::int64_t tokens, const BudgetGlance &) override
+    void handleTaken(const BudgetId &, const HeldPortion &, std::int64_t tokens, const BudgetSnapshot &) override
     {
         taken += tokens;
     }
 
-    void handleGivenBack(const BudgetId &, const HeldPortion &, std::int64_t tokens) override
+    void handleReturned(const BudgetId &, const HeldPortion &, std::int64_t tokens) override
     {
         givenBack += tokens;
     }
 
-    std::vector<BudgetGlance> dry;
+    std::vector<BudgetSnapshot> dry;
     std::int64_t taken = 0;
     std::int64_t givenBack = 0;
 };
--- a/tests/core/budgets/budgethomes_test.cpp
+++ b/tests/core/budgets/budgethomes_test.cpp
@@ -27,13 +27,13 @@
         holderSettings.heldPerLeft = 0.25;
         holderSettings.leastHeldShare = 0.02;
         holderSettings.mostHeldShare = 0.6;
-        ledgerSettings.failuresUntilAway = 1;
+        ledgerSettings.failuresUntilUnavailable = 1;
         ledgerSettings.soonDelay = Milliseconds(200);
         ledgerSettings.relaxedDelay = Milliseconds(800);
     }
 
     /// Calls refused in 50 s in which just what was paid for is asked for.
-    int playRefused(Place place)
+    int countRefused(Place place)
     {
         const std::string name = place == Place::Gateways ? "g" : "h";
         for (int n = 0; n < kHomes; ++n) {
@@ -95,8 +95,8 @@
 // killed gateways held is lost to the budgets. With homes beside endpoints the same load meets neither.
 TEST_F(BudgetHomesTest, gatewaysCutOffAndKilled_budgetsHeldBesideEndpointsServeOn)
 {
-    const int beside = playRefused(Place::BesideEndpoints);
-    const int atGateways = playRefused(Place::Gateways);
+    const int beside = countRefused(Place::BesideEndpoints);
+    const int atGateways = countRefused(Place::Gateways);
     RecordProperty("refused_beside_endpoints", beside);
     RecordProperty("refused_at_gateways", atGateways);
     EXPECT_EQ(beside, 0);
--- a/tests/core/budgets/budgetoutage_test.cpp
+++ b/tests/core/budgets/budgetoutage_test.cpp
@@ -31,7 +31,7 @@
         holderSettings.use.shortestAverage = Milliseconds(1500);
         holderSettings.lowWaterShare = 0.85;
         holderSettings.requestsAhead = 6;
-        ledgerSettings.failuresUntilAway = 1;
+        ledgerSettings.failuresUntilUnavailable = 1;
         ledgerSettings.soonDelay = Milliseconds(200);
         ledgerSettings.relaxedDelay = Milliseconds(800);
         topUp("p", kPaid);
@@ -39,7 +39,7 @@
 
     /// `callsPerSecond` calls with sizes as those of prompts: the squares of their sizes are three times the square of
     /// the mean on the average.
-    Outage playOutage(int seed, double callsPerSecond)
+    Outage simulateOutage(int seed, double callsPerSecond)
     {
         constexpr double kMeanTokens = 3'000;
         const auto process = start("h" + std::to_string(++processes));
@@ -77,7 +77,7 @@
     {
         Outage all;
         for (int seed = 1; seed <= kSeeds; ++seed) {
-            const Outage outage = playOutage(seed, callsPerSecond);
+            const Outage outage = simulateOutage(seed, callsPerSecond);
             all.asked += outage.asked;
             all.refused += outage.refused;
         }
--- a/tests/core/budgets/keptshard_test.cpp
+++ b/tests/core/budgets/cachedshard_test.cpp
@@ -6,12 +6,12 @@
 using namespace RadishSwitch;
 
 /// A writer that keeps its shard between rounds, beside another that writes the same shard.
-class KeptShardTest : public BudgetFixture
+class CachedShardTest : public BudgetFixture
 {
 protected:
     static LedgerSettings keeping(LedgerSettings settings)
     {
-        settings.keepsShards = true;
+        settings.cachesShards = true;
         return settings;
     }
 
@@ -46,7 +46,7 @@
     absl::Status lastStatus;
 };
 
-TEST_F(KeptShardTest, secondRound_aloneOnTheShard_costsOneCall)
+TEST_F(CachedShardTest, secondRound_aloneOnTheShard_costsOneCall)
 {
     create(writer);
     const int before = link.calls();
@@ -57,7 +57,7 @@
 
 // Another process books a payment meanwhile. The kept shard is older than that; written as it is, it would take the
 // payment away.
-TEST_F(KeptShardTest, writeOfAnother_isNeitherLostNorOverlooked)
+TEST_F(CachedShardTest, writeOfAnother_isNeitherLostNorOverlooked)
 {
     create(writer);
     submit(other, topUpOf("p1", 100));
@@ -68,7 +68,7 @@
 
 // By the kept shard the budget does not exist; another has created it since. A failure that only the kept shard knows
 // of must not reach anybody.
-TEST_F(KeptShardTest, failureByTheKeptShard_isProvedByTheStore)
+TEST_F(CachedShardTest, failureByTheKeptShard_isProvedByTheStore)
 {
     submit(writer, std::make_shared<CreateBudgetChange>(BudgetId{OrganisationId("o"), "b"}, "operator", 0));
     create(other);
@@ -77,7 +77,7 @@
     EXPECT_EQ(paid(), 100);
 }
 
-TEST_F(KeptShardTest, lostAnswer_isReadBackBeforeAnythingIsWritten)
+TEST_F(CachedShardTest, lostAnswer_isReadBackBeforeAnythingIsWritten)
 {
     create(writer);
     link.loseAnswersOfNextWrites(1);
--- a/tests/core/budgets/ledgersearch_test.cpp
+++ b/tests/core/budgets/ledgersearch_test.cpp
@@ -74,8 +74,8 @@
 
 std::string failureAt(SearchWorld &world, const Path &path)
 {
-    std::string failure = world.brokenPromise();
-    failure = failure.empty() ? world.stuckAfterFairRun() : failure;
+    std::string failure = world.violatedInvariant();
+    failure = failure.empty() ? world.failureAfterFairRun() : failure;
     return failure.empty() ? "" : failure + " after" + described(path);
 }
 
@@ -129,8 +129,8 @@
         }
         path.push_back(enabled[random.below(enabled.size())]);
         world.apply(path.back());
-        if (const std::string broken = world.brokenPromise(); !broken.empty()) {
-            return broken + " after" + described(path);
+        if (const std::string violation = world.violatedInvariant(); !violation.empty()) {
+            return violation + " after" + described(path);
         }
     }
     return failureAt(world, path);
--- a/tests/core/budgets/ledgershard_test.cpp
+++ b/tests/core/budgets/ledgershard_test.cpp
@@ -162,7 +162,7 @@
               })),
               FailureCode::PortionClosed);
     EXPECT_EQ(failureCode(change([&](BudgetRecord &it) {
-                  return it.surrender(a, 2, 5, 10);
+                  return it.returnPart(a, 2, 5, 10);
               })),
               FailureCode::PortionClosed);
     EXPECT_EQ(failureCode(change([&](BudgetRecord &it) {
--- a/tests/core/budgets/ridealong_test.cpp
+++ b/tests/core/budgets/ridealong_test.cpp
@@ -11,13 +11,13 @@
 
     RideAlongTest()
     {
-        ledgerSettings.keepsShards = true;
+        ledgerSettings.cachesShards = true;
         ledgerSettings.soonDelay = Milliseconds(200);
         ledgerSettings.relaxedDelay = Milliseconds(800);
         holderSettings.survivalTime = Milliseconds(7500);
         holderSettings.lowWaterShare = 0.7;
         holderSettings.use.averagingTime = Seconds(4);
-        holderSettings.relaxedAskInterval = Seconds(2);
+        holderSettings.relaxedTakeInterval = Seconds(2);
         holderSettings.checkpointInterval = Seconds(8);
         holderSettings.relaxedCheckpointInterval = Seconds(16);
     }
@@ -33,7 +33,7 @@
     };
 
     /// Half a minute of six to seven calls a second of each budget.
-    Outcome playHalfAMinute(double rideAlongShare)
+    Outcome simulateHalfAMinute(double rideAlongShare)
     {
         holderSettings.rideAlongShare = rideAlongShare;
         for (int n = 0; n < kBudgets; ++n) {
@@ -72,8 +72,8 @@
     // Ten organisations call all day long. Each of their portions runs low at a moment of its own, and each time the
     // whole shard is written for the one of them. Renewed together they cost less than half of the calls to the store,
     // and no caller is refused for it.
-    const Outcome alone = playHalfAMinute(0);
-    const Outcome together = playHalfAMinute(0.97);
+    const Outcome alone = simulateHalfAMinute(0);
+    const Outcome together = simulateHalfAMinute(0.97);
 
     EXPECT_LT(2 * together.writes, alone.writes);
     EXPECT_GE(together.granted, alone.granted * 95 / 100);
--- a/tests/core/budgets/searchworld.cpp
+++ b/tests/core/budgets/searchworld.cpp
@@ -11,9 +11,9 @@
 const BudgetId kBudget{OrganisationId("o"), "b"};
 const std::string kAgent = "agent";
 const std::string kLateAgent = "late";
-constexpr std::int64_t kPaidAtFirst = 100;
+constexpr std::int64_t kInitiallyPaid = 100;
 constexpr std::array<std::int64_t, 2> kPayments{40, 30};
-constexpr int kTellings = 2;
+constexpr int kSubmissionsOfPayment = 2;
 constexpr int kFairRounds = 400;
 
 LedgerSettings ledgerSettings()
@@ -41,17 +41,17 @@
 {
 }
 
-const SearchStore::Shared &SearchWorld::storeAtFirst()
+const SearchStore::Shared &SearchWorld::initialStore()
 {
     static const SearchStore::Shared shared = [] {
         SearchStore::Shared store;
         Actor creator(store);
         LedgerEditor editor(*creator.ledger, creator.timers, creator.tasks);
         editor.createBudget(kBudget, "ann", [](const absl::Status &) {});
-        editor.topUp(kBudget, PaymentId("first"), kPaidAtFirst, "ann", [](const auto &) {});
+        editor.topUp(kBudget, PaymentId("first"), kInitiallyPaid, "ann", [](const auto &) {});
         for (int i = 0; i < kFairRounds && !creator.ledger->isIdle(); ++i) {
             creator.tasks.runAll();
-            creator.store.hasWrite() ? creator.store.carryOut(false) : static_cast<void>(creator.timers.fireNext());
+            creator.store.hasWrite() ? creator.store.execute(false) : static_cast<void>(creator.timers.fireNext());
         }
         return store;
     }();
@@ -60,7 +60,7 @@
 
 SearchWorld::SearchWorld(int faults)
     : m_agents(m_agentTasks)
-    , m_shared(storeAtFirst())
+    , m_shared(initialStore())
     , m_requests{{0, 60, 60}, {1, 50, 20}, {0, 60, 40}}
     , m_faults(faults)
 {
@@ -74,7 +74,7 @@
     }
     Actor &closer = *m_actors[kCloser];
     PortionCloserSettings settings;
-    settings.listeningTime = Duration::zero();
+    settings.discoveryTime = Duration::zero();
     closer.closer =
         std::make_unique<PortionCloser>(*closer.ledger, m_agents, closer.timers, closer.tasks, closer.random, settings);
     Actor &operatorActor = *m_actors[kOperator];
@@ -102,7 +102,7 @@
         }
     }
     for (int i = 0; i < 2; ++i) {
-        if (m_toldPayments[i] < kTellings) {
+        if (m_submittedPayments[i] < kSubmissionsOfPayment) {
             actions.push_back({SearchAction::TopUp, i});
         }
         if (!m_isClosing[i]) {
@@ -130,7 +130,7 @@
         if (m_actors[i]->store.hasLateWrite()) {
             actions.push_back({SearchAction::LandLateWrite, i});
         }
-        if (i < kHolders && m_isLateAgentThere && m_heardOfLateAt[i] == Instant::max() && !m_isDead[i]) {
+        if (i < kHolders && m_isLateAgentThere && m_lateAgentKnownAt[i] == Instant::max() && !m_isDead[i]) {
             actions.push_back({SearchAction::HearOfLateAgent, i});
         }
     }
@@ -182,7 +182,7 @@
         tick(*m_actors[i]);
         break;
     case SearchAction::Write:
-        m_actors[i]->store.carryOut(false);
+        m_actors[i]->store.execute(false);
         break;
     case SearchAction::LandLateWrite:
         m_actors[i]->store.landLateWrite();
@@ -192,19 +192,19 @@
         m_agents.add(kLateAgent);
         break;
     case SearchAction::HearOfLateAgent:
-        m_heardOfLateAt[i] = m_actors[i]->timers.now();
+        m_lateAgentKnownAt[i] = m_actors[i]->timers.now();
         break;
     case SearchAction::Agent:
         m_agentTasks.runOne();
         break;
     case SearchAction::LoseAnswer:
-        m_actors[i]->store.carryOut(true);
+        m_actors[i]->store.execute(true);
         break;
     case SearchAction::RefuseWrite:
         m_actors[i]->store.refuse();
         break;
     case SearchAction::HoldWriteUp:
-        m_actors[i]->store.holdUp();
+        m_actors[i]->store.delayWrite();
         break;
     case SearchAction::Kill:
         m_isDead[i] = true;
@@ -248,7 +248,7 @@
     return sum;
 }
 
-std::string SearchWorld::brokenPromise() const
+std::string SearchWorld::violatedInvariant() const
 {
     const BudgetRecord &record = this->record();
     std::int64_t committed = m_charged;
@@ -264,14 +264,14 @@
     if (record.settled() > m_charged) {
         return "settled more than was charged";
     }
-    std::int64_t paid = kPaidAtFirst;
+    std::int64_t paid = kInitiallyPaid;
     for (int i = 0; i < 2; ++i) {
-        paid += m_toldPayments[i] > 0 ? kPayments[i] : 0;
+        paid += m_submittedPayments[i] > 0 ? kPayments[i] : 0;
     }
     return record.paid() > paid ? "a payment counts twice" : "";
 }
 
-std::string SearchWorld::stuckAfterFairRun()
+std::string SearchWorld::failureAfterFairRun()
 {
     m_faults = 0;
     if (m_isAgentSilent) {
@@ -287,8 +287,8 @@
             if (!isIdleClose && !isLaterTopUp && isStillEnabled) {
                 apply(action);
             }
-            if (const std::string broken = brokenPromise(); !broken.empty()) {
-                return broken;
+            if (const std::string violation = violatedInvariant(); !violation.empty()) {
+                return violation;
             }
         }
         if (!isStopping && isEverythingDone()) {
@@ -333,7 +333,7 @@
 
 bool SearchWorld::mayGoToLateAgent(const Request &request) const
 {
-    return m_heardOfLateAt[request.holder] < request.confirmedAt;
+    return m_lateAgentKnownAt[request.holder] < request.confirmedAt;
 }
 
 void SearchWorld::dispatch(int request, const std::string &agent)
@@ -364,7 +364,7 @@
 
 void SearchWorld::topUp(int payment)
 {
-    ++m_toldPayments[payment];
+    ++m_submittedPayments[payment];
     m_actors[kOperator]->editor->topUp(kBudget, PaymentId("p" + std::to_string(payment)), kPayments[payment], "ann",
                                        [](const auto &) {});
 }
--- a/tests/core/budgets/searchworld.h
+++ b/tests/core/budgets/searchworld.h
@@ -42,7 +42,7 @@
     }
 
     /// Carries the waiting write out; the process hears of it unless `isAnswerLost`.
-    void carryOut(bool isAnswerLost)
+    void execute(bool isAnswerLost)
     {
         const Write write = *std::exchange(m_write, std::nullopt);
         StoredObject &object = m_shared.objects[write.key];
@@ -63,7 +63,7 @@
     }
 
     /// The waiting write is held up on the way; the process hears of a timeout, and the write may land later or never.
-    void holdUp()
+    void delayWrite()
     {
         m_late = std::exchange(m_write, std::nullopt);
         m_late->callback(makeFailure(FailureCode::StoreTimeout, "held up"));
@@ -188,11 +188,11 @@
     std::uint64_t digest() const;
 
     /// What must hold in every state; empty when it does.
-    std::string brokenPromise() const;
+    std::string violatedInvariant() const;
 
     /// Lets everything run to its end without further faults; empty when each request was answered, all portions are
     /// settled, and exactly what the agent charged is settled.
-    std::string stuckAfterFairRun();
+    std::string failureAfterFairRun();
 
 private:
     static constexpr int kHolders = 2;
@@ -224,7 +224,7 @@
         std::string agent{};
     };
 
-    static const SearchStore::Shared &storeAtFirst();
+    static const SearchStore::Shared &initialStore();
     RequestId id(int request) const;
     void offer(int request);
     void dispatch(int request, const std::string &agent);
@@ -240,11 +240,11 @@
     mutable ManualTaskQueue m_agentTasks;
     std::vector<std::unique_ptr<Actor>> m_actors;
     std::vector<Request> m_requests;
-    std::array<int, 2> m_toldPayments{};
+    std::array<int, 2> m_submittedPayments{};
     std::array<bool, kHolders> m_isClosing{};
     std::array<bool, kHolders> m_isDead{};
     bool m_isLateAgentThere = false;
-    std::array<Instant, kHolders> m_heardOfLateAt{Instant::max(), Instant::max()};
+    std::array<Instant, kHolders> m_lateAgentKnownAt{Instant::max(), Instant::max()};
     bool m_isAgentSilent = false;
     int m_faults;
     std::int64_t m_charged = 0;
--- a/tests/core/budgets/shardwriter_test.cpp
+++ b/tests/core/budgets/shardwriter_test.cpp
@@ -123,7 +123,7 @@
     const auto status = submit(writer, create(1));
     run(Seconds(3600), Milliseconds(50));
     EXPECT_FALSE(*status);
-    EXPECT_TRUE(writer.isStoreAway());
+    EXPECT_TRUE(writer.isStoreUnavailable());
     EXPECT_LT(link.calls(), 800);
 
     link.setCut(false);
@@ -131,7 +131,7 @@
     run(Seconds(15));
 
     EXPECT_TRUE(status->value().ok());
-    EXPECT_FALSE(writer.isStoreAway());
+    EXPECT_FALSE(writer.isStoreUnavailable());
 }
 
 TEST_F(ShardWriterTest, submit_objectWouldBeTooLarge_failsThatChangeOnly)
