--- a/src/libradishswitch/budgets/allowancechange.h
+++ b/src/libradishswitch/budgets/allowancechange.h
@@ -5,10 +5,10 @@
 namespace RadishSwitch
 {
 
-/// Brings a budget to the total that a version of the configuration says was paid in all, and creates it where it is
-/// missing. Every process that learns of the version submits this; it counts once, and a version older than one that
-/// was booked changes nothing. A total below what was booked before leaves the budget as it is: what was handed out
-/// can't be called back.
+/// Raises the paid total of a budget to the total in one version of the configuration, and creates the budget if it is
+/// missing. Every process that learns of the version submits this change; the ledger books it once. A version that is
+/// older than one already booked changes nothing. A total below the booked total leaves the budget unchanged, because
+/// tokens that were already granted to holders cannot be revoked.
 class AllowanceChange : public LedgerChange
 {
 public:
--- a/src/libradishswitch/budgets/beginclosechange.h
+++ b/src/libradishswitch/budgets/beginclosechange.h
@@ -5,11 +5,12 @@
 namespace RadishSwitch
 {
 
-/// Takes all portions of one holder in a shard away from it, before the agents are asked what was spent.
+/// Closes all portions of one holder in a shard to that holder, before the agents are asked for the charges.
 ///
-/// Writes the shard even if the holder has no portion there. A write of the holder may be on its way when it dies, and
-/// land after the closer has looked: its portion would then belong to nobody for ever. Every such write names the
-/// version that it was made for, so one write after the holder's death makes it fail.
+/// The change modifies the shard even if the holder has no portion in it. A write by the holder may still be in flight
+/// when the holder dies, and may reach the store after the closer has read the shard; its portion would then never be
+/// closed. Every write by the holder names the object version that it expects, so one write after the holder's death
+/// makes the late write fail with a version conflict.
 class BeginCloseChange : public LedgerChange
 {
 public:
@@ -26,7 +27,7 @@
     absl::Status apply(LedgerShard &shard) override;
     std::string describe() const override;
 
-    /// The holder's portions, as they are from now on.
+    /// The holder's portions as this change left them.
     const std::vector<ClosingPortion> &portions() const;
 
 private:
--- a/src/libradishswitch/budgets/budgetholder.h
+++ b/src/libradishswitch/budgets/budgetholder.h
@@ -16,7 +16,7 @@
 namespace RadishSwitch
 {
 
-/// How a holder stands with one budget, for status pages and tests. Amounts are tokens.
+/// The state of one budget at a holder, for status pages and tests. Amounts are tokens.
 struct HeldBudgetStatus {
     struct Portion {
         PortionId portion;
@@ -30,7 +30,7 @@
 
     BudgetId budget;
     std::vector<Portion> portions;
-    /// What can be reserved at once.
+    /// Tokens that can be reserved without asking the ledger.
     std::int64_t available = 0;
     std::size_t waiting = 0;
     double tokensPerSecond = 0;
@@ -48,11 +48,12 @@
     bool operator==(const OpenReservation &) const = default;
 };
 
-/// Reserves and settles against portions of budgets that this process has taken from the ledger.
+/// Reserves and settles tokens against portions of budgets that this process has taken from the ledger.
 ///
-/// Every reservation lies wholly inside one portion, and a portion belongs to one incarnation of one process for ever:
-/// what is reserved here can be reserved nowhere else, however long the process is paused or cut off. Single-threaded;
-/// the ledger's callbacks come under the same guard. Answers go out through the task queue.
+/// Every reservation lies entirely within one portion, and a portion only ever belongs to one incarnation of one
+/// process. Tokens that are reserved here therefore cannot be reserved elsewhere, however long the process is paused or
+/// disconnected. The class is single-threaded; the ledger calls its callbacks in the same context. The results of
+/// reservations are delivered through the task queue.
 class BudgetHolder
 {
 public:
@@ -63,48 +64,53 @@
     BudgetHolder(const BudgetHolder &) = delete;
     BudgetHolder &operator=(const BudgetHolder &) = delete;
 
-    /// Null for none. The listener must outlive the holder or be taken away before.
+    /// Sets the listener; null removes it. The listener must outlive the holder or be removed before it is destroyed.
     void setListener(BudgetHolderListener *listener);
 
-    /// Sets the worst case of a request aside. Waits, until the request's deadline, while the ledger is asked or while
-    /// open reservations here can still free enough; answers at once when neither can help.
+    /// Reserves the upper bound of what a request can cost. The request waits, at most until its deadline, while a
+    /// ledger request is pending or while open reservations could still free enough tokens. It is refused at once when
+    /// neither can help.
     ///
-    /// A request id that has an open reservation gets the same one again. Errors: BudgetExhausted, BudgetLow,
-    /// BudgetUnavailable and LedgerLate with the time to come back, BudgetUnknown, InvalidRequest for less than one
-    /// token, Draining after `stop`.
+    /// For a request id that has an open reservation the callback gets the same reservation again. Errors:
+    /// BudgetExhausted, BudgetLow, BudgetUnavailable and LedgerLate with the time after which to retry; BudgetUnknown;
+    /// InvalidRequest for less than one token; Draining after `stop`.
     void reserve(const ReservationRequest &request, ReservationCallback callback);
 
-    /// Ends a reservation with what the request was charged, and frees the rest. Again for the same request it does
-    /// nothing. InvalidRequest, and all that was reserved is charged, for a charge outside what was reserved.
+    /// Ends a reservation by charging `chargedTokens`, and frees the rest. A second call for the same request has no
+    /// effect. When the charge is negative or exceeds the reservation, the whole reservation is charged and
+    /// InvalidRequest is returned.
     absl::Status settle(const RequestId &request, std::int64_t chargedTokens);
 
-    /// Ends the reservation of a request that did not run. Again for the same request it does nothing.
+    /// Ends the reservation of a request that did not run, and frees its tokens. A second call for the same request has
+    /// no effect.
     void release(const RequestId &request);
 
-    /// Ends a reservation without billing it: nobody can prove what was used. Its tokens go out of use, and show up in
-    /// the ledger as withheld until an operator releases them. Again for the same request it does nothing.
+    /// Ends a reservation without billing it, because the tokens that the request used cannot be determined. The tokens
+    /// stay unavailable and are shown in the ledger as withheld until an operator releases them. A second call for the
+    /// same request has no effect.
     void withhold(const RequestId &request);
 
-    /// Replaces the portions held now by fresh ones at their next checkpoints. To be called when an agent is lost: its
-    /// charges are known here and nowhere else, and a portion that ends in this process's hands needs no proof.
+    /// Replaces the current portions by new ones at their next checkpoints. Call it when an agent is lost: the charges
+    /// of that agent are then known only to this process. A portion that this process returns itself needs no proof by
+    /// the agents.
     void replacePortions();
 
-    /// A payment is on its way to the ledger: that it had too little says nothing any more.
+    /// Discards the last known free amount of a budget, because a payment to it has been submitted to the ledger.
     void notePayment(const BudgetId &budget);
 
-    /// Planned stop: refuses new reservations, waits for the open ones, returns every portion, then calls back.
+    /// Stops the holder: refuses new reservations, waits for the open ones, returns every portion to the ledger and
+    /// then calls `callback`.
     void stop(std::function<void()> callback);
 
-    /// How the holder stands with a budget; nothing when it holds none of it.
+    /// The state of a budget at this holder; nothing when the holder does not know the budget.
     std::optional<HeldBudgetStatus> budgetStatus(const BudgetId &budget) const;
 
-    /// The same for all budgets that the holder knows.
+    /// The state of every budget that this holder knows.
     std::vector<HeldBudgetStatus> statuses() const;
 
-    /// The open reservations of one budget.
     std::vector<OpenReservation> openReservations(const BudgetId &budget) const;
 
-    /// Open reservations over all budgets.
+    /// The number of open reservations of all budgets.
     std::size_t openReservationCount() const;
 
 private:
@@ -119,14 +125,15 @@
         std::int64_t tokens;
     };
 
-    /// What was asked of the ledger: which portion, when, and what the holder had of it by then.
+    /// A TakePortionChange that was submitted: the number of the portion, the time of submission, and the tokens that
+    /// the holder had in the portion then.
     struct PendingTake {
         std::uint32_t number = 0;
         Instant at{};
         std::int64_t granted = 0;
     };
 
-    // budgetholder.cpp: requests.
+    // Implemented in budgetholder.cpp: requests.
     Entry &entryOf(const BudgetId &budget);
     Reservation grant(Entry &entry, const RequestId &request, std::int64_t tokens);
     void wait(Entry &entry, const ReservationRequest &request, ReservationCallback callback);
@@ -143,12 +150,13 @@
     void close(const Open &open, std::int64_t chargedTokens);
     void answer(ReservationCallback callback, absl::StatusOr<Reservation> result);
 
-    // budgetholderledger.cpp: what goes to the ledger and comes back.
-    /// Whether a change failed since its portion is the holder's no longer.
+    // Implemented in budgetholderledger.cpp: changes submitted to the ledger and their results.
+
+    /// Whether a change failed because the portion no longer belongs to this holder.
     static bool isPortionLost(const absl::Status &status);
     bool isLastFreeCurrent(const HeldBudget &budget) const;
     bool isLastFreeRecent(const HeldBudget &budget) const;
-    /// Whether the ledger has said lately that it has less than the request lacks here.
+    /// Whether the ledger recently reported fewer free tokens than the request lacks here.
     bool wasRecentlyInsufficient(const HeldBudget &budget, const ReservationRequest &request) const;
     bool isLow(const HeldBudget &budget) const;
     Urgency backgroundUrgency(const HeldBudget &budget) const;
@@ -172,7 +180,7 @@
     void checkStopped();
     PortionId portionId(std::uint32_t number) const;
 
-    // budgetholdercheckpoints.cpp: each budget is looked at now and then.
+    // Implemented in budgetholdercheckpoints.cpp: the periodic check of each budget.
     void checkpointSlot();
     void checkpoint(Entry &entry);
     bool isReportDue(const HeldBudget &budget, const HeldPortion &portion) const;
@@ -194,12 +202,12 @@
     absl::flat_hash_map<std::uint32_t, std::vector<Entry *>> m_budgetsByShard;
     absl::flat_hash_map<RequestId, Open> m_open;
     absl::flat_hash_set<Entry *> m_withWaiting;
-    /// Each budget is looked at once per checkpoint interval, an eighth of them at a time.
+    /// Timer wheel: each budget is checked once per checkpoint interval, one slot (an eighth of the budgets) at a time.
     std::array<std::vector<Entry *>, kWheelSlots> m_wheel;
     std::size_t m_wheelSlot = 0;
     TimerId m_wheelTimer = 0;
     std::uint32_t m_lastNumber = 0;
-    /// Portions that are held or on their way here or back.
+    /// Portions that are held, or that are being taken or returned.
     std::size_t m_portions = 0;
     std::function<void()> m_onStopped;
     BudgetHolderListener *m_listener = nullptr;
--- a/src/libradishswitch/budgets/budgetholderlistener.h
+++ b/src/libradishswitch/budgets/budgetholderlistener.h
@@ -9,20 +9,21 @@
 namespace RadishSwitch
 {
 
-/// Told what a holder does with portions of budgets, for logs. Called inside the holder; it must not call back into it.
+/// Receives events about the portions of a holder, for logging. The holder calls the methods synchronously; they must
+/// not call back into the holder.
 class BudgetHolderListener
 {
 public:
     virtual ~BudgetHolderListener() = default;
 
-    /// Too little is left in the ledger for the next request.
+    /// The ledger has too few free tokens left for the next request.
     virtual void handleExhausted(const BudgetId &budget, const BudgetSnapshot &snapshot) = 0;
 
-    /// A portion was taken, or has grown by `tokens`.
+    /// A portion was taken, or an existing one has grown by `tokens`.
     virtual void handleTaken(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens,
                              const BudgetSnapshot &snapshot) = 0;
 
-    /// `tokens` of a portion, unspent, are on their way back to the ledger.
+    /// The holder has started to return `tokens` unspent tokens of a portion to the ledger.
     virtual void handleReturned(const BudgetId &budget, const HeldPortion &portion, std::int64_t tokens) = 0;
 };
 
--- a/src/libradishswitch/budgets/budgetholdersettings.h
+++ b/src/libradishswitch/budgets/budgetholdersettings.h
@@ -10,68 +10,75 @@
 namespace RadishSwitch
 {
 
-/// How a process holds portions of budgets.
+/// Settings of a BudgetHolder. A "target size" below is the number of available tokens that the holder aims for in its
+/// portion of a budget.
 struct BudgetHolderSettings {
-    /// This life of this process; names its portions.
+    /// Identifies this run of the process; part of the ids of its portions.
     IncarnationId incarnation;
     std::string region;
-    /// How long a portion should last at the present use when the store goes away at the worst moment, just before more
-    /// is asked for.
+    /// How long a portion should last at the current rate of use if the store becomes unavailable at the worst moment,
+    /// which is just before the holder asks for more tokens.
     Duration survivalTime = std::chrono::seconds(120);
-    /// The same for a budget of which another process usually holds the portion. What a stand-in holds besides is left
-    /// lying there when the other is back, and is stranded if either of them dies.
+    /// Replaces `survivalTime` for a budget whose portion is usually held by another process. A portion taken by such a
+    /// stand-in stays unused when the usual holder is back, and is stranded if one of the two processes dies.
     Duration standInSurvivalTime = std::chrono::seconds(5);
     TokenUseSettings use;
-    /// More is asked for when less than this share of the wished size is left.
+    /// Low-water mark: the holder asks the ledger for more tokens when its portion has less available than this share
+    /// of the target size.
     double lowWaterShare = 0.5;
-    /// With a write that another budget of the shard has caused, more is asked for when less than this share of the
-    /// wished size is left. Zero: each budget asks for itself alone.
+    /// When the shard is about to be written for another budget, the holder also asks for more tokens of this budget if
+    /// its portion has less available than this share of the target size. Zero disables this: each budget then asks
+    /// only for itself.
     double rideAlongShare = 0;
-    /// Share of what is free in the ledger that may be taken beyond what waiting requests need.
+    /// Share of the free tokens in the ledger that a portion may take beyond what waiting requests need.
     double shareOfFree = 0.25;
-    /// Share of what is left of a budget that a portion wishes for, beside what waiting requests need: `heldPerLeft`
-    /// times the share of the whole budget that is left, within these bounds. One for no bound.
+    /// Upper bound of the target size, as a share of the tokens left in the budget: `heldPerLeft` times the share of
+    /// the whole budget that is left, clamped to `leastHeldShare` and `mostHeldShare`. Waiting requests may need more.
+    /// A `mostHeldShare` of one disables the bound.
     double heldPerLeft = 1;
     double leastHeldShare = 1;
     double mostHeldShare = 1;
-    /// Share of the whole budget that is left to urgent reservations and to small ones.
+    /// Headroom: the share of the whole budget that is reserved for urgent requests and for small ones.
     double headroomShare = 0;
-    /// Small is what has at most this part of the usual size, and what is urgent and of no more than the usual size.
+    /// A request that is not urgent counts as small up to this multiple of the average request size. Urgent requests
+    /// count as small up to the average size.
     double headroomSmallShare = 0.5;
-    /// Part of the headroom that larger urgent reservations leave to small ones.
+    /// Share of the headroom that larger urgent requests must leave to small requests.
     double headroomForSmall = 0.5;
-    /// The same of what was held when the ledger was lost, while it is.
+    /// Replaces `headroomShare` while the ledger is unavailable: the share of the tokens that were available when the
+    /// ledger became unavailable.
     double awayHeadroomShare = 0;
-    /// In place of `shareOfFree` for a budget of which another process usually holds the portion.
+    /// Replaces `shareOfFree` for a budget whose portion is usually held by another process.
     double standInShareOfFree = 0.25;
-    /// Requests of typical size for which a portion has room at least, whatever the averaged use is; and for one of the
-    /// size last seen.
+    /// The target size has room for at least this number of requests of average size, whatever the average rate of use
+    /// is, and for one request of the size last seen.
     int requestsAhead = 4;
-    /// A portion with more than so many times the wished size gives back the excess.
+    /// The holder returns the excess of a portion that has more available than this multiple of the target size.
     double surplusFactor = 4;
-    /// Use of so long is kept when another holder found too little.
+    /// When another holder found too few free tokens, this holder keeps only the tokens that it needs for this time.
     Duration shortageSurvivalTime = std::chrono::seconds(5);
-    /// How often the spending of a budget that runs low is written to the ledger, and the ledger looked at.
+    /// How often the holder reports its spending to the ledger, and reads the budget's amounts there, for a budget that
+    /// runs low.
     Duration checkpointInterval = std::chrono::seconds(5);
-    /// The same for all others.
+    /// Replaces `checkpointInterval` for budgets that do not run low.
     Duration relaxedCheckpointInterval = std::chrono::seconds(120);
-    /// A budget runs low when less than so many times the wished size of the portion here is free in the ledger.
+    /// A budget runs low when the ledger has fewer free tokens than this multiple of the target size.
     std::int64_t lowBudgetFactor = 4;
-    /// A portion that nobody used for so long is returned.
+    /// The holder returns a portion that no request has used for this time.
     Duration idleTime = std::chrono::seconds(60);
-    /// An older portion is replaced by a fresh one at the next occasion, so that few agents come and go during the
-    /// life of a portion.
+    /// The holder replaces a portion that is older than this at the next checkpoint, so that few agents start or stop
+    /// during the life of a portion.
     Duration portionLifetime = std::chrono::minutes(10);
-    /// For so long after the ledger had too little, it is not asked again.
+    /// For this time after the ledger reported too few free tokens, the holder does not ask it again.
     Duration exhaustedRecheckInterval = std::chrono::milliseconds(500);
-    /// At least so long between two requests to the ledger that no request waits for.
+    /// Minimum time between two requests for more tokens when no reservation waits for them.
     Duration relaxedTakeInterval = std::chrono::seconds(1);
-    /// What callers are told with BudgetExhausted and with BudgetUnavailable.
+    /// The time after which callers may retry, as sent with BudgetExhausted and with BudgetUnavailable.
     std::chrono::milliseconds exhaustedRetryAfter = std::chrono::seconds(5);
     std::chrono::milliseconds unavailableRetryAfter = std::chrono::seconds(2);
-    /// What callers are told with BudgetLow. Only a payment helps.
+    /// The same, sent with BudgetLow. Longer, since only a payment helps.
     std::chrono::milliseconds lowRetryAfter = std::chrono::seconds(30);
-    /// Requests of one budget that may wait at once.
+    /// Maximum number of requests of one budget that may wait at once; further ones are refused.
     std::size_t maximumWaiting = 1000;
 };
 
--- a/src/libradishswitch/budgets/budgetsnapshot.h
+++ b/src/libradishswitch/budgets/budgetsnapshot.h
@@ -5,15 +5,15 @@
 namespace RadishSwitch
 {
 
-/// How a budget stands in the ledger, as a holder needs to know it.
+/// The amounts of a budget in the ledger at one moment, as far as a holder needs them.
 struct BudgetSnapshot {
     std::int64_t paid = 0;
     std::int64_t settled = 0;
     std::int64_t free = 0;
-    /// What all portions hold beyond what their holders told to be spent.
+    /// Tokens in all portions that their holders have not reported as spent.
     std::int64_t unspentInPortions = 0;
     std::size_t portions = 0;
-    /// The holder that found too little; empty when none did.
+    /// The holder that found too few free tokens in the ledger; empty when there is none.
     IncarnationId wantedBy;
 
     bool operator==(const BudgetSnapshot &) const = default;
--- a/src/libradishswitch/budgets/createbudgetchange.h
+++ b/src/libradishswitch/budgets/createbudgetchange.h
@@ -5,7 +5,7 @@
 namespace RadishSwitch
 {
 
-/// Creates an empty budget. One that is there stays as it is.
+/// Creates an empty budget; an existing budget stays unchanged.
 class CreateBudgetChange : public LedgerChange
 {
 public:
--- a/src/libradishswitch/budgets/finishclosechange.h
+++ b/src/libradishswitch/budgets/finishclosechange.h
@@ -5,7 +5,7 @@
 namespace RadishSwitch
 {
 
-/// Settles a portion that is being closed, or is withheld, at what the agents proved.
+/// Settles a portion that is being closed, or is withheld, at the charges that the agents reported.
 class FinishCloseChange : public LedgerChange
 {
 public:
--- a/src/libradishswitch/budgets/heldbudget.h
+++ b/src/libradishswitch/budgets/heldbudget.h
@@ -11,7 +11,7 @@
 namespace RadishSwitch
 {
 
-/// A portion as its holder counts it. Number zero stands for none.
+/// A portion as counted by its holder. The number zero means that there is no portion.
 struct HeldPortion {
     std::uint32_t number = 0;
     std::uint32_t sequence = 0;
@@ -29,15 +29,14 @@
     bool operator==(const HeldPortion &) const = default;
 };
 
-/// A request that waits for tokens.
 struct WaitingReservation {
     ReservationRequest request;
     ReservationCallback callback;
     TimerId timer = 0;
 };
 
-/// What a holder keeps of one budget. Small, since a process may hold hundreds of thousands of them; what only a busy
-/// budget needs lies apart.
+/// The state of one budget at a holder. Kept small, because a process may hold hundreds of thousands of budgets; the
+/// parts that only a busy budget needs are allocated on demand.
 class HeldBudget
 {
 public:
@@ -49,78 +48,80 @@
     HeldPortion &current();
     const HeldPortion &current() const;
 
-    /// Makes `portion` the current one; the one before goes on among the draining ones if it has open reservations.
-    /// Gives the one before.
+    /// Makes `portion` the current one and returns the previous one. The caller returns it to the ledger, or adds it to
+    /// the draining ones while it has open reservations.
     HeldPortion replaceCurrent(const HeldPortion &portion);
 
-    /// Portions that take no new reservations.
+    /// Portions that take no new reservations, and are returned once their open reservations have ended.
     const std::vector<HeldPortion> &draining() const;
     void addDraining(const HeldPortion &portion);
 
-    /// The portion of this number, or nothing when it was returned or lost.
+    /// The portion with this number; null when it was returned or lost.
     HeldPortion *find(std::uint32_t number);
     void remove(std::uint32_t number);
 
     std::deque<WaitingReservation> &waiting();
     bool hasWaiting() const;
 
-    /// Frees what only a busy budget needs, if there is nothing in it. References from `waiting` end here.
+    /// Frees the parts that only a busy budget needs, if they are empty. Invalidates references from `waiting`.
     void releaseUnused();
 
     std::size_t waitingCount() const;
 
-    /// Notes a reservation of `tokens`.
+    /// Updates the average request size by a reservation of `tokens`.
     void noteReserved(std::int64_t tokens, Instant now);
-    /// Notes that `tokens` were spent.
+    /// Updates the average rate of use by `tokens` that were spent.
     void noteSpent(std::int64_t tokens, Instant now, const BudgetHolderSettings &settings);
 
-    /// Averaged use in tokens a second.
+    /// Average rate of use in tokens per second.
     double tokensPerSecond(Instant now, const BudgetHolderSettings &settings) const;
 
-    /// What the current portion should have available.
+    /// The number of available tokens that the holder aims for in the current portion.
     std::int64_t targetSize(Instant now, const BudgetHolderSettings &settings) const;
 
-    /// What it should keep while others are short.
+    /// The number of available tokens to keep while another holder finds too few in the ledger.
     std::int64_t sizeInShortage(Instant now, const BudgetHolderSettings &settings) const;
 
-    /// Tokens that could be had here without the ledger: available now, or freed by open reservations at best.
+    /// Upper bound of the tokens that can become available without the ledger: those available now and those of all
+    /// open reservations.
     std::int64_t maximumAvailable() const;
 
-    /// The least amount from the ledger that is worth a write: what the first that waits lacks at best, or room for a
-    /// request of the size last seen.
+    /// The smallest grant from the ledger that is worth a write: the tokens that the first waiting request lacks even
+    /// if all open reservations are released, or room for a request of the size last seen.
     std::int64_t smallestUseful() const;
 
-    /// Whether a reservation leaves the headroom that is kept for urgent and for small ones. While the ledger is away,
-    /// that is a share of what was held when it went.
+    /// Whether a reservation leaves the headroom that is reserved for urgent and for small requests. While the ledger
+    /// is unavailable the headroom is a share of the tokens that were available when the outage began.
     bool leavesHeadroom(const ReservationRequest &request, bool isLedgerUnavailable,
                         const BudgetHolderSettings &settings) const;
 
-    /// What all that wait and leave the headroom need beyond what is available.
+    /// The tokens beyond the available ones that all waiting requests need; requests that would use up the headroom do
+    /// not count.
     std::int64_t shortage(bool isLedgerUnavailable, const BudgetHolderSettings &settings) const;
 
     Instant lastUsedAt() const;
 
-    /// A take or a partial return is on its way; there is one at a time.
+    /// A TakePortionChange has been submitted and is not finished; there is at most one at a time.
     bool isTakePending = false;
-    /// Changes on their way to the ledger besides that one; their answers still name this budget.
+    /// Other changes that were submitted and are not finished; their callbacks still refer to this budget.
     std::uint32_t pendingChanges = 0;
-    /// Reservations that are granted and neither settled nor released, those on lost portions among them.
+    /// Reservations that are granted and neither settled nor released, including those on lost portions.
     std::uint32_t openReservations = 0;
-    /// The latest request came since the usual holder could not be asked.
+    /// The latest request came here because the usual holder of the budget could not be reached.
     bool isStandIn = false;
-    /// The ledger was asked, and had no such budget.
+    /// The ledger reported that no such budget exists.
     bool isUnknown = false;
-    /// What was free in the ledger when it was last asked, and when that was.
+    /// The free tokens that the ledger last reported; `lastFreeAt` is the time of that report.
     std::int64_t lastFree = 0;
-    /// What was paid in all, as of then.
+    /// The total paid tokens in the same report.
     std::int64_t lastPaid = 0;
     Instant lastFreeAt = Instant::min();
     Instant lastTakeAt = Instant::min();
-    /// What was available when the ledger went away; nothing while it is not known to be away.
+    /// The tokens that were available when the ledger became unavailable; nothing while it is available.
     std::optional<std::int64_t> availableAtOutage;
 
 private:
-    /// The part of the headroom that a reservation has to leave: all, none, or that for small ones.
+    /// The share of the headroom that a reservation must leave: all of it, none, or the share for small requests.
     double requiredHeadroomPart(const ReservationRequest &request, const BudgetHolderSettings &settings) const;
 
     struct Extras {
@@ -128,7 +129,7 @@
         std::deque<WaitingReservation> waiting;
     };
 
-    /// Most that the portion wishes for, beyond what waiting requests need.
+    /// Upper bound of the target size, without the tokens that waiting requests need.
     std::int64_t maximumHeld(const BudgetHolderSettings &settings) const;
     Extras &extras();
 
@@ -137,7 +138,7 @@
     TokenUse m_use;
     Instant m_lastUsedAt;
     std::int64_t m_lastTokens = 0;
-    /// Averaged size of requests.
+    /// Average size of requests in tokens.
     double m_typicalTokens = 0;
     std::unique_ptr<Extras> m_extras;
 };
--- a/src/libradishswitch/budgets/holderreservations.h
+++ b/src/libradishswitch/budgets/holderreservations.h
@@ -6,7 +6,7 @@
 namespace RadishSwitch
 {
 
-/// The budgets of this process as its home sees them.
+/// The budget holder of this process as the reservation port of the home in the same process.
 class HolderReservations : public ReservationPort
 {
 public:
--- a/src/libradishswitch/budgets/ledger.h
+++ b/src/libradishswitch/budgets/ledger.h
@@ -9,11 +9,12 @@
 namespace RadishSwitch
 {
 
-/// The budgets' ledger in the platform's store, as one process uses it: the writers of its shards, the budget of calls
-/// they share, and the check that the process agrees with the ledger on the number of shards.
+/// The budget ledger in the platform's store, as used by one process: the writers of its shards, the rate limit on
+/// store calls that they share, and the check that this process and the ledger agree on the number of shards.
 ///
-/// Nothing is written before "ledger/meta" has been read: with another count a budget would be sought in the wrong
-/// object, found missing there, and paid twice. Callbacks are called in place, under the same guard as the users.
+/// Nothing is written before the object "ledger/meta" has been read. With a different number of shards, a budget would
+/// be looked up in the wrong object, found missing there and paid for a second time. Callbacks are called
+/// synchronously, in the same context as the users of this class.
 class Ledger
 {
 public:
@@ -28,34 +29,35 @@
     Ledger(const Ledger &) = delete;
     Ledger &operator=(const Ledger &) = delete;
 
-    /// Calls back when the store is found away or back, for one shard.
+    /// Sets the callback for a shard whose store becomes unavailable or available again.
     void setStoreStateCallback(StoreStateCallback callback);
 
-    /// Calls back when a shard is about to be read or written: what is submitted to it then costs no call of its own.
+    /// Sets the callback for a shard that is about to be read or written. A change that is submitted in the callback
+    /// needs no store call of its own.
     void setRoundCallback(RoundCallback callback);
 
     std::uint32_t shardOf(const BudgetId &budget) const;
     std::uint32_t shardCount() const;
 
-    /// Brings a change into a shard. InvalidSettings when the shard count is not the ledger's; else as
-    /// ShardWriter::submit.
+    /// Submits a change to a shard. Fails with InvalidSettings when the configured number of shards differs from that
+    /// of the ledger; otherwise as ShardWriter::submit.
     void submit(std::uint32_t shard, std::shared_ptr<LedgerChange> change, Urgency urgency,
                 ShardWriter::Callback callback);
 
-    /// Brings a change of a budget into its shard, as above.
+    /// Submits a change to the shard of a budget, as above.
     void submit(const BudgetId &budget, std::shared_ptr<LedgerChange> change, Urgency urgency,
                 ShardWriter::Callback callback);
 
-    /// A request waits by now for what was submitted to this shard.
+    /// Shortens the delay of the changes that wait in this shard's queue, because a request now waits for one of them.
     void expedite(std::uint32_t shard);
 
-    /// Reads a shard as it is now; an empty one when there is no such object. StoreUnavailable, StoreTimeout,
-    /// ObjectMalformed, InvalidSettings.
+    /// Reads a shard from the store; the result is an empty shard when the object does not exist. Fails with
+    /// StoreUnavailable, StoreTimeout, ObjectMalformed or InvalidSettings.
     void readShard(std::uint32_t shard, Callback<LedgerShard> callback);
 
     bool isStoreUnavailable(std::uint32_t shard) const;
 
-    /// No change waits or is being written.
+    /// Whether no change waits or is being written.
     bool isIdle() const;
 
 private:
@@ -66,7 +68,7 @@
         Differs,
     };
 
-    /// Runs `action` once the shard count is known to agree, or to differ.
+    /// Runs `action` once the shard count in the store has been compared with the configured one.
     void whenMetaChecked(std::function<void()> action);
     void readMeta();
     void handleMeta(const absl::StatusOr<StoredObject> &object);
--- a/src/libradishswitch/budgets/ledgereditor.h
+++ b/src/libradishswitch/budgets/ledgereditor.h
@@ -5,12 +5,12 @@
 namespace RadishSwitch
 {
 
-/// One line about a budget.
+/// The amounts of one budget, in tokens, for lists of budgets.
 struct BudgetSummary {
     BudgetId budget;
     std::int64_t paid = 0;
     std::int64_t settled = 0;
-    /// In portions, withheld ones among them.
+    /// Tokens in portions, including withheld ones.
     std::int64_t granted = 0;
     std::int64_t withheld = 0;
     std::int64_t free = 0;
@@ -19,10 +19,10 @@
     bool operator==(const BudgetSummary &) const = default;
 };
 
-/// What operators do to the ledger. Each change and its audit entry are one write.
+/// The changes that operators make to the ledger. Each change and its audit entry are part of the same write.
 ///
-/// A change is tried until the store has it. A caller that stops waiting earlier must tell its operator that the
-/// outcome is unknown; doing the same again is safe, since each change counts once.
+/// A change is retried until the store has accepted it. A caller that stops waiting earlier must report the outcome as
+/// unknown; submitting the same change again is safe, because each change counts once.
 class LedgerEditor
 {
 public:
@@ -31,26 +31,31 @@
 
     LedgerEditor(Ledger &ledger, TimerService &timers, TaskQueue &tasks);
 
-    /// Creates an empty budget; one that is there stays as it is. InvalidRequest for a name that cannot be kept.
+    /// Creates an empty budget; an existing budget stays unchanged. Fails with InvalidRequest for a name that cannot be
+    /// stored.
     void createBudget(const BudgetId &budget, const std::string &operatorName,
                       std::function<void(absl::Status)> callback);
 
-    /// Books a payment, once however often it is told, and gives the record after that. BudgetUnknown,
-    /// KeyReusedForOtherBody when the payment is booked with another amount, InvalidRequest, ObjectTooLarge.
+    /// Books a payment, however often it is submitted only once, and returns the budget after that. Fails with
+    /// BudgetUnknown, ObjectTooLarge, InvalidRequest, or with KeyReusedForOtherBody when the payment was booked with
+    /// another amount.
     void topUp(const BudgetId &budget, const PaymentId &payment, std::int64_t tokens, const std::string &operatorName,
                Callback<BudgetRecord> callback);
 
-    /// The record as the store has it. BudgetUnknown, StoreUnavailable, StoreTimeout, ObjectMalformed.
+    /// Returns the budget as it is in the store. Fails with BudgetUnknown, StoreUnavailable, StoreTimeout or
+    /// ObjectMalformed.
     void show(const BudgetId &budget, Callback<BudgetRecord> callback);
 
-    /// Every budget of an organisation, or of all when it is empty, by name. Reads every shard, one after the other.
+    /// Lists the budgets of an organisation by name; an empty organisation stands for all. Reads all shards one after
+    /// the other.
     void list(const OrganisationId &organisation, Callback<std::vector<BudgetSummary>> callback);
 
-    /// The kept audit entries of an organisation's budgets, or of all when it is empty, oldest first.
+    /// Returns the stored audit entries of an organisation's budgets, oldest first; an empty organisation stands for
+    /// all.
     void audit(const OrganisationId &organisation, Callback<std::vector<LedgerAuditEntry>> callback);
 
-    /// Frees what is withheld and not proved to be spent; the operator answers for it. ObjectMissing when no such
-    /// portion is withheld; InvalidRequest without an operator and a reason.
+    /// Frees the withheld tokens that are not proved to be spent, on the responsibility of the operator. Fails with
+    /// ObjectMissing when no such portion is withheld, and with InvalidRequest without an operator and a reason.
     void releaseWithheld(const BudgetId &budget, const PortionId &portion, const std::string &operatorName,
                          const std::string &reason, std::function<void(absl::Status)> callback);
 
--- a/src/libradishswitch/budgets/portioncloser.h
+++ b/src/libradishswitch/budgets/portioncloser.h
@@ -11,11 +11,11 @@
 namespace RadishSwitch
 {
 
-/// How the closing of a holder's portions in one shard stands.
+/// Progress of closing the portions of one holder in one shard.
 struct CloseReport {
-    /// Portions settled by what was proved.
+    /// Portions that were settled by the charges that the agents reported.
     std::size_t closed = 0;
-    /// Portions not settled yet, the withheld ones among them.
+    /// Portions that are not settled yet, including withheld ones.
     std::size_t open = 0;
     std::size_t withheld = 0;
     /// Tokens in withheld portions that are not proved to be spent.
@@ -24,14 +24,14 @@
     bool operator==(const CloseReport &) const = default;
 };
 
-/// Closes the portions of a dead holder by what the agents prove.
+/// Closes the portions of a dead holder by the charges that the agents report.
 ///
-/// First the ledger takes the portion away from its holder, then every agent is told to let no new run on it and to
-/// tell what was charged to it. After that the sum can only grow by runs that go on, and these are waited for. A holder
-/// that is not dead but paused loses nothing but the portion: its later runs on it are refused by the agents as "not
-/// run". Two closers at once prove the same and settle once.
+/// First the ledger closes the portion to its holder. Then every agent is told to start no new run on the portion, and
+/// to report the charges to it. From then on the sum can only grow by runs that are still in progress, and the closer
+/// waits for these. A holder that is only paused loses nothing but the portion: the agents refuse its later runs on it
+/// as "not run". When two closers work at the same time, both arrive at the same sum, and the portion is settled once.
 ///
-/// Single-threaded; answers of ledger and agents come under the same guard.
+/// The class is single-threaded; the ledger and the agents answer in the same context.
 class PortionCloser
 {
 public:
@@ -44,23 +44,24 @@
     PortionCloser(const PortionCloser &) = delete;
     PortionCloser &operator=(const PortionCloser &) = delete;
 
-    /// Closes every portion that `holder` has in a shard now, and goes on until each is settled. `callback` comes
-    /// through the task queue each time a portion was settled or withheld; when there is no portion, once. Asked again
-    /// for the same holder and shard while that goes on, it does nothing more and drops `callback`.
+    /// Closes every portion that `holder` has in a shard now, and continues until each is settled. `callback` is called
+    /// through the task queue each time a portion was settled or withheld, and once when the holder has no portion
+    /// there. While this goes on, a second call for the same holder and shard has no effect and drops its `callback`.
     ///
-    /// Tokens that a holder withheld itself have no holder and are left alone: for an empty `holder` nothing is done.
+    /// Tokens that a holder withheld itself belong to no holder and are not touched: with an empty `holder` nothing is
+    /// done.
     ///
-    /// A holder that was closed while it lived may take fresh portions afterwards; when it does die, it must be closed
-    /// again.
+    /// A holder that was closed while it was alive may take new portions afterwards. It must be closed again when it
+    /// dies.
     void closeHolder(const IncarnationId &holder, std::uint32_t shard, Callback callback);
 
-    /// Holders and shards that are being worked on.
+    /// Number of pairs of a holder and a shard that are being closed.
     std::size_t openJobs() const;
 
 private:
     enum class Stage {
         Proving,
-        /// FinishClose is on its way.
+        /// A FinishCloseChange has been submitted.
         Finishing,
     };
 
@@ -83,10 +84,12 @@
         Instant startedAt{};
         bool isBegun = false;
         std::map<PortionId, Closing> portions;
-        /// Every agent ever heard of during the job: one that has left the list may still hold runs.
+        /// Every agent that was known during the job. An agent that is no longer listed may still have runs in
+        /// progress.
         std::set<std::string> agents;
-        /// Agents that did not answer when they were last asked, and since when.
+        /// Agents that did not answer the last query, with the time of the first query in a row that failed.
         std::map<std::string, Instant> unreachableSince;
+        /// Agents whose answers the current round waits for.
         std::set<std::string> awaitedAgents;
         std::size_t closed = 0;
         int rounds = 0;
@@ -109,7 +112,7 @@
     bool hasRuns(const Job &job, const Closing &closing) const;
     void finish(const JobPointer &job, const PortionId &portion, Closing &closing);
     void handleFinished(const JobPointer &job, const PortionId &portion, const absl::Status &status);
-    /// Withholds all that is not proved, or no more than `unproved` when that bound is known.
+    /// Withholds all unproved tokens of a portion, or at most `unproved` of them when that bound is known.
     void withhold(const JobPointer &job, const PortionId &portion, Closing &closing, const std::string &reason,
                   const std::set<std::string> &missing, std::optional<std::int64_t> unproved = std::nullopt);
     Duration ageOf(const Closing &closing) const;
@@ -118,7 +121,7 @@
     void removeSettled(const JobPointer &job, const PortionId &portion);
     void reportProgress(const Job &job);
 
-    /// Wraps a handler so that it does nothing once the closer is gone.
+    /// Wraps a handler so that it does nothing after the closer was destroyed.
     template<typename Handler>
     auto guarded(Handler handler)
     {
--- a/src/libradishswitch/budgets/portionproof.h
+++ b/src/libradishswitch/budgets/portionproof.h
@@ -8,28 +8,29 @@
 namespace RadishSwitch
 {
 
-/// What the agents have proved about one portion so far. A later answer of an agent replaces its earlier one.
+/// The charges to one portion that the agents have reported so far. A later answer of an agent replaces its earlier
+/// one.
 class PortionProof
 {
 public:
-    /// Takes in what an agent told. An agent that has told once has closed the portion for good.
+    /// Adds the answer of an agent. An agent that has answered starts no new run on the portion.
     void add(const std::string &agentAddress, const PortionCharges &charges);
 
     bool hasAnswerOf(const std::string &agentAddress) const;
 
-    /// Whether runs on the portion went on at the agent when it last told.
+    /// Whether runs on the portion were in progress at the agent when it last answered.
     bool hasRunsAt(const std::string &agentAddress) const;
 
-    /// Charges of provisional runs: the same requests may be billed by another run, so they are neither proved nor
-    /// free.
+    /// Charges of provisional runs. The same requests may be billed through another run, so these tokens are neither
+    /// proved nor free.
     std::int64_t provisionalTokens() const;
 
-    /// Agents that do not know every charge of the last `age`: what they, or those they took the place of, charged
-    /// before is lost.
+    /// Agents whose records do not cover the whole of the last `age`. Charges from before that, by these agents or by
+    /// the agents that they replaced, are lost.
     std::set<std::string> agentsYoungerThan(Duration age) const;
 
-    /// The sum of all charges. A request charged at two agents, since it was taken up at the second, counts once, with
-    /// the greater charge. Charges that an agent has folded together count as they are.
+    /// The sum of all charges. A request that was charged at two agents, because it was retried at the second, counts
+    /// once with the larger charge. Charges that an agent has merged into one sum are added unchanged.
     std::int64_t provedTokens() const;
 
 private:
--- a/src/libradishswitch/budgets/portionsweep.h
+++ b/src/libradishswitch/budgets/portionsweep.h
@@ -14,12 +14,12 @@
 
 enum class HolderState {
     Alive,
-    /// Not heard of just now; may be dead soon, or may come back.
+    /// No recent heartbeat; the holder may soon be declared dead, or may come back.
     Missing,
     Dead,
 };
 
-/// What this process knows of the holders of portions, and which shards are its to look after.
+/// The states of the holders of portions as known to this process, and the shards that it is responsible for.
 class HolderDirectory
 {
 public:
@@ -27,22 +27,23 @@
 
     virtual HolderState stateOf(const IncarnationId &holder) const = 0;
 
-    /// The shards whose home this process is.
+    /// The shards whose home is this process.
     virtual std::vector<std::uint32_t> homeShards() const = 0;
 };
 
 struct PortionSweepSettings {
-    /// How often all shards are looked at with no cause; jittered.
+    /// Interval at which all shards of this process are inspected without any other cause; jittered.
     Duration interval = std::chrono::seconds(60);
-    /// How soon a shard is looked at again while one of its holders is missing.
+    /// Delay until a shard is inspected again while one of its holders is missing. After a membership change the
+    /// inspections are spread over the same time.
     Duration recheck = std::chrono::seconds(1);
 };
 
 /// Finds the portions whose holders have died and has them closed.
 ///
-/// A dead holder's portion stays withheld until it is closed; without somebody who looks, its budget would shrink with
-/// every death. Each shard is looked after by its home. Two that both believe to be home prove the same, and settle it
-/// once.
+/// The tokens in a dead holder's portion are unavailable until the portion is closed, so without this sweep a budget
+/// would shrink with every death of a holder. Each shard is inspected by its home. When two processes both believe that
+/// they are the home, both closers prove the same sum, and it is settled once.
 class PortionSweep
 {
 public:
@@ -55,7 +56,7 @@
 
     void start();
 
-    /// The fleet's members have changed: holders may have died.
+    /// Inspects all shards after a change of the fleet's membership, because holders may have died.
     void noteMembershipChange();
 
 private:
--- a/src/libradishswitch/budgets/releasewithheldchange.h
+++ b/src/libradishswitch/budgets/releasewithheldchange.h
@@ -5,8 +5,8 @@
 namespace RadishSwitch
 {
 
-/// An operator takes it on himself that a withheld portion spent no more than is proved. On the record: the audit
-/// entry is part of the same write. ObjectMissing when no such portion is withheld.
+/// Releases a withheld portion. The operator takes responsibility that no more of it was spent than is proved. The
+/// audit entry is part of the same write. Fails with ObjectMissing when no such portion is withheld.
 class ReleaseWithheldChange : public LedgerChange
 {
 public:
--- a/src/libradishswitch/budgets/reportspendchange.h
+++ b/src/libradishswitch/budgets/reportspendchange.h
@@ -6,8 +6,8 @@
 namespace RadishSwitch
 {
 
-/// Raises what a portion has spent, and reads how its budget stands. PortionClosed when the portion is closed or
-/// gone.
+/// Raises the spent amount of a portion, and reads the amounts of its budget. Fails with PortionClosed when the portion
+/// is closed or gone.
 class ReportSpendChange : public LedgerChange
 {
 public:
@@ -16,7 +16,7 @@
     absl::Status apply(LedgerShard &shard) override;
     std::string describe() const override;
 
-    /// How the budget stood when the change was applied.
+    /// The amounts of the budget when the change was applied.
     const BudgetSnapshot &snapshot() const;
 
 private:
--- a/src/libradishswitch/budgets/reservation.h
+++ b/src/libradishswitch/budgets/reservation.h
@@ -11,8 +11,8 @@
 namespace RadishSwitch
 {
 
-/// What was paid for a budget in all, by a version of the configuration that says so. Version zero: payments are booked
-/// by other means.
+/// The total that was paid for a budget according to a version of the configuration. Version zero means that payments
+/// are booked by other means.
 struct Allowance {
     std::uint64_t version = 0;
     std::int64_t tokens = 0;
@@ -20,32 +20,33 @@
     bool operator==(const Allowance &) const = default;
 };
 
-/// A request's worst case, to be set aside before it is sent to any endpoint.
+/// A request to reserve the upper bound of what a call can cost, before the call is sent to any endpoint.
 struct ReservationRequest {
     RequestId request;
     BudgetId budget;
-    /// Bound on the tokens that the request can cost.
+    /// Upper bound of the tokens that the request can cost.
     std::int64_t tokens = 0;
-    /// Until then the request may wait for tokens.
+    /// The request may wait for tokens until this time.
     Instant deadline{};
-    /// Another process holds the budget's usual portion; this one only stands in for it.
+    /// Whether another process holds the budget's usual portion and this one only substitutes for it.
     bool isStandIn = false;
-    /// Whether it may use up what other reservations have to leave: the headroom of the budget.
+    /// Whether the request may use the budget's headroom, which other reservations must leave.
     bool isUrgent = true;
     Allowance allowance = {};
 
     bool operator==(const ReservationRequest &) const = default;
 };
 
-/// Tokens set aside for one request.
+/// Tokens reserved for one request.
 struct Reservation {
     PortionId portion;
     std::int64_t tokens = 0;
-    /// At or after this moment of the holder's timer service the ledger still had the portion open.
+    /// The ledger still had the portion open at this moment of the holder's timer service, or later.
     ///
-    /// A run may be sent only to agents that were heard of before it. An agent that started later was never told which
-    /// portions are closed: a holder that was paused while its portion was closed would have such an agent run, and
-    /// bill, against tokens that others hold by now. To an older agent the closer has told it.
+    /// A run may only be sent to agents that were discovered before this moment. An agent that started later was never
+    /// told which portions are closed. If the holder was paused while its portion was closed, such an agent would run
+    /// the request and bill it against tokens that other holders have by now. The closer has informed every older
+    /// agent.
     Instant confirmedAt{};
 
     bool operator==(const Reservation &) const = default;
--- a/src/libradishswitch/budgets/returnportionchange.h
+++ b/src/libradishswitch/budgets/returnportionchange.h
@@ -5,14 +5,14 @@
 namespace RadishSwitch
 {
 
-/// Gives back what a holder does not need of a portion: all but `keep`, or the whole portion, which ends it.
+/// Returns tokens of a portion that its holder does not need: all but `keep`, or the whole portion, which ends it.
 class ReturnPortionChange : public LedgerChange
 {
 public:
-    /// Ends the portion: `spent` is settled, the rest is free.
+    /// Ends the portion: `spent` is settled and the rest becomes free.
     ReturnPortionChange(BudgetId budget, PortionId portion, std::int64_t spent);
 
-    /// Lowers the portion to `keep` tokens, `spent` among them.
+    /// Lowers the portion to `keep` tokens, which include `spent`.
     ReturnPortionChange(BudgetId budget, PortionId portion, std::int64_t spent, std::uint64_t sequence,
                         std::int64_t keep);
 
--- a/src/libradishswitch/budgets/shardcollector.h
+++ b/src/libradishswitch/budgets/shardcollector.h
@@ -15,25 +15,25 @@
 {
 
 struct ShardCollectorSettings {
-    /// How long an agent that neither answers nor fails is waited for before requests go on without it.
+    /// Maximum time for which requests wait for an agent that neither answers nor fails.
     Duration holdLimit = std::chrono::seconds(2);
     Duration firstBackoff = std::chrono::milliseconds(100);
     Duration lastBackoff = std::chrono::seconds(10);
 };
 
-/// Collects from the agents what earlier owners of a key shard had them run, for its new owner.
+/// Collects the runs that earlier owners of a key shard started at the agents, for the new owner of the shard.
 ///
-/// The question carries the new epoch. An agent that has answered lets no run of an earlier owner start any more, so
-/// its answer stays complete. Until all have answered, an idempotent request may still turn out to have run elsewhere.
+/// The query contains the new epoch. An agent that has answered starts no more runs for an earlier owner, so its answer
+/// stays complete. Until all agents have answered, an idempotent request may turn out to have run already.
 class ShardCollector
 {
 public:
     struct Events {
-        /// An agent told of a run.
+        /// An agent reported a run.
         std::function<void(const RunRecord &)> found;
         /// `isHoldingRequests` or `isComplete` may have changed.
         std::function<void()> changed;
-        /// An agent knows of a later owner.
+        /// An agent knows of a later owner of the shard.
         std::function<void()> deposed;
     };
 
@@ -44,20 +44,21 @@
     ShardCollector(const ShardCollector &) = delete;
     ShardCollector &operator=(const ShardCollector &) = delete;
 
-    /// Asks the agents that were not asked yet, and drops those that are not known any more.
+    /// Queries the agents that were not queried yet, and removes those that are no longer listed.
     void refresh();
 
-    /// Whether requests must wait: agents that may yet answer have not, and the limit has not come.
+    /// Whether requests must wait, because some agents have not answered but still may, and the time limit has not
+    /// passed.
     bool isHoldingRequests() const;
 
-    /// Whether every agent has answered, but for the dead.
+    /// Whether every agent has answered, except the dead ones.
     bool isComplete() const;
 
 private:
     enum class AgentState {
         Queried,
         Unreachable,
-        /// Not to be asked, and not in the platform's list: what it knew is lost.
+        /// Unreachable and not in the platform's list: its records are lost.
         Dead,
         Answered,
     };
@@ -82,9 +83,9 @@
     const ShardCollectorSettings m_settings;
     const Events m_events;
     std::map<std::string, Agent> m_agents;
-    /// Agents that may still tell of a run.
+    /// Number of agents that may still report a run.
     std::size_t m_open = 0;
-    /// Set once requests went on; agents that join later do not hold them up again.
+    /// Set when requests proceed for the first time; agents that join later do not make them wait again.
     bool m_isReleased = false;
     TimerId m_holdTimer = 0;
     LifeToken m_life;
--- a/src/libradishswitch/budgets/shardwriter.h
+++ b/src/libradishswitch/budgets/shardwriter.h
@@ -14,15 +14,15 @@
 {
 
 enum class Urgency {
-    /// A request waits for it.
+    /// A request waits for the change.
     Urgent,
-    /// Others are short of what it gives back, or it tells of a budget that runs low.
+    /// Other holders lack the tokens that the change returns, or the change concerns a budget that runs low.
     Soon,
-    /// Nobody waits; it may ride along with another write.
+    /// No request waits for the change; it may join another write of the shard.
     Relaxed,
 };
 
-/// What a writer needs of the process around it.
+/// The services of the process that a writer uses.
 struct LedgerPorts {
     ObjectStore &store;
     TimerService &timers;
@@ -30,14 +30,14 @@
     StoreCallBudget &calls;
 };
 
-/// Brings the changes of one shard into the store: all that wait go into one conditional update.
+/// Writes the changes of one shard to the store; all queued changes are combined into one conditional update.
 ///
-/// Each round reads the object, applies the batch and writes it back if anything changed. A version conflict, a lost
-/// answer and a failed call all lead to the next round, which begins by reading: a change whose write took effect
-/// finds itself applied and changes nothing twice. A change that is submitted is never given up, since a change of
-/// unknown outcome could take effect later; what its owner tells a waiting request is the owner's affair.
+/// Each round reads the object, applies the batch and writes the object back if it was modified. A version conflict, a
+/// lost answer and a failed call all lead to another round, which reads the object first. A change whose write did take
+/// effect then finds itself applied and modifies nothing. A submitted change is never abandoned, since a change with an
+/// unknown outcome could still take effect later; the submitter decides what to tell a waiting request.
 ///
-/// Part of the same aggregate as its users: callbacks are called in place, under the same guard.
+/// Callbacks are called synchronously, in the same context as the users of this class.
 class ShardWriter
 {
 public:
@@ -45,7 +45,7 @@
     using StoreStateCallback = std::function<void(bool isUnavailable)>;
     using RoundCallback = std::function<void()>;
 
-    /// `onRound` is called when a round begins; what is submitted inside it goes out with that round.
+    /// `onRound` is called when a round begins; changes that are submitted in it are written in the same round.
     ShardWriter(
         std::uint32_t shard, const LedgerPorts &ports, const LedgerSettings &settings, StoreStateCallback onStoreState,
         RoundCallback onRound = [] {});
@@ -54,17 +54,17 @@
     ShardWriter(const ShardWriter &) = delete;
     ShardWriter &operator=(const ShardWriter &) = delete;
 
-    /// Queues a change. `callback` gets the change's own failure, or OK once the change is in the store, or once the
-    /// store was found to hold it.
+    /// Queues a change. `callback` gets the error of the change itself, or OK once the change is in the store or was
+    /// found there.
     void submit(std::shared_ptr<LedgerChange> change, Urgency urgency, Callback callback);
 
-    /// A request waits by now for what was submitted: it no longer rides along but goes out.
+    /// Shortens the delay of the queued changes, because a request now waits for one of them.
     void expedite();
 
-    /// Whether several calls in a row have failed.
+    /// Whether so many consecutive calls have failed that the store counts as unavailable.
     bool isStoreUnavailable() const;
 
-    /// Nothing waits and nothing runs.
+    /// Whether no change is queued or being written.
     bool isIdle() const;
 
 private:
@@ -95,7 +95,7 @@
     void finish();
     void failBatch(const absl::Status &status);
 
-    /// A callback for the store that does nothing once this writer is gone.
+    /// Wraps a handler as a store callback that does nothing after the writer was destroyed.
     template<typename T>
     std::function<void(T)> guarded(void (ShardWriter::*handler)(const T &));
 
@@ -106,11 +106,11 @@
     RoundCallback m_onRound;
     std::vector<Pending> m_queue;
     std::vector<Pending> m_batch;
-    /// The shard as it was written last, where it is kept.
+    /// The shard as it was last written, if `cachesShards` is set.
     std::optional<LedgerShard> m_cached;
     std::uint64_t m_cachedVersion = 0;
     LedgerShard m_written;
-    /// The round under way began with the kept shard.
+    /// Whether the current round started from the cached shard.
     bool m_isFromCache = false;
     bool m_isRunning = false;
     TimerId m_timer = 0;
--- a/src/libradishswitch/budgets/takeportionchange.h
+++ b/src/libradishswitch/budgets/takeportionchange.h
@@ -6,7 +6,7 @@
 namespace RadishSwitch
 {
 
-/// Creates or grows a holder's portion, as far as there is something free. Errors as BudgetRecord::takePortion.
+/// Creates or grows a holder's portion as far as tokens are free. Fails as BudgetRecord::takePortion.
 class TakePortionChange : public LedgerChange
 {
 public:
@@ -17,10 +17,10 @@
 
     const PortionRequest &request() const;
 
-    /// What the portion holds in all after the change; zero when it was not created.
+    /// Tokens granted to the portion in total after the change; zero when the portion was not created.
     std::int64_t granted() const;
 
-    /// How the budget stood after the change.
+    /// The amounts of the budget after the change.
     const BudgetSnapshot &snapshot() const;
 
 private:
--- a/src/libradishswitch/budgets/tokenuse.h
+++ b/src/libradishswitch/budgets/tokenuse.h
@@ -7,29 +7,29 @@
 namespace RadishSwitch
 {
 
-/// Over which time use is averaged, and what is allowed for chance.
+/// Averaging times for the use of a budget, and the allowance for random variation.
 struct TokenUseSettings {
     Duration averagingTime = std::chrono::seconds(30);
-    /// Use is averaged over at least so long: a few requests in a shorter time say little about the use to come.
+    /// Minimum time over which use is averaged; a few requests in a shorter time say little about future use.
     Duration shortestAverage = std::chrono::seconds(5);
-    /// For a second average, of which the greater counts; less than the averaging time for none.
+    /// Averaging time of a second, longer average; the larger of the two averages counts. A value below `averagingTime`
+    /// disables it.
     Duration longAveragingTime = Duration::zero();
-    /// Standard deviations of the use to come that are allowed for.
+    /// Number of standard deviations of future use that are added to the expected use.
     double deviations = 0;
 };
 
-/// The averaged use of one budget at one process.
+/// Average use of one budget in one process.
 class TokenUse
 {
 public:
     explicit TokenUse(Instant now);
 
-    /// Notes that `tokens` were used.
     void note(std::int64_t tokens, Instant now, const TokenUseSettings &settings);
 
     double tokensPerSecond(Instant now, const TokenUseSettings &settings) const;
 
-    /// What the next `span` is likely to need: the average, and what is allowed for chance.
+    /// Tokens that are likely to be needed within `span`: the average, plus the allowance for random variation.
     double tokensWithin(Duration span, Instant now, const TokenUseSettings &settings) const;
 
 private:
@@ -38,7 +38,7 @@
 
     DecayingRate m_tokens;
     DecayingRate m_longTokens;
-    /// Of the squares of charges, over the long time.
+    /// Squares of the charges, averaged over the long time.
     DecayingRate m_squares;
     Instant m_since;
     bool m_isUsed = false;
--- a/src/libradishswitch/budgets/topupchange.h
+++ b/src/libradishswitch/budgets/topupchange.h
@@ -5,7 +5,7 @@
 namespace RadishSwitch
 {
 
-/// Books a payment; the same payment twice counts once. Errors as BudgetRecord::topUp.
+/// Books a payment; a payment that is submitted twice counts once. Fails as BudgetRecord::topUp.
 class TopUpChange : public LedgerChange
 {
 public:
--- a/src/libradishswitch/budgets/withholdchange.h
+++ b/src/libradishswitch/budgets/withholdchange.h
@@ -5,7 +5,7 @@
 namespace RadishSwitch
 {
 
-/// Withholds what is not proved of a portion that is being closed.
+/// Withholds the unproved tokens of a portion that is being closed.
 class WithholdChange : public LedgerChange
 {
 public:
--- a/src/libradishswitch/budgets/withholdpartchange.h
+++ b/src/libradishswitch/budgets/withholdpartchange.h
@@ -5,8 +5,8 @@
 namespace RadishSwitch
 {
 
-/// A holder sets tokens of its portion aside for good, since nobody can prove what the request used that they were
-/// reserved for. An operator may release them. PortionClosed when the portion is closed or gone.
+/// Withholds part of a holder's portion, because the tokens used by the request that reserved them cannot be
+/// determined. An operator may release them. Fails with PortionClosed when the portion is closed or gone.
 class WithholdPartChange : public LedgerChange
 {
 public:
