--- a/src/libradishswitch/budgets/allowancechange.cpp
+++ b/src/libradishswitch/budgets/allowancechange.cpp
@@ -11,7 +11,7 @@
 
 constexpr char kBookedBy[] = "configuration";
 
-/// Payments are kept in the order of their names, so that the newest version comes last.
+/// The payments of a budget are ordered by id, so the zero-padded version makes the newest one come last.
 PaymentId paymentOf(std::uint64_t version)
 {
     char buf[48];
--- a/src/libradishswitch/budgets/billing.cpp
+++ b/src/libradishswitch/budgets/billing.cpp
@@ -55,7 +55,7 @@
         competingRun = record;
     }
     const auto it = m_waiting.find(record.request);
-    // Its shard is complete when the rival was found after `resume`, or when this is how the rival ended.
+    // The bill waits only for the competing run: that run was found after `resume`, or has just ended.
     if (it != m_waiting.end() && it->second.isResumed && competingRun.state != RunState::Running) {
         const Bill bill = it->second;
         m_waiting.erase(it);
--- a/src/libradishswitch/budgets/budgetholder.cpp
+++ b/src/libradishswitch/budgets/budgetholder.cpp
@@ -49,7 +49,8 @@
 void BudgetHolder::reserve(const ReservationRequest &request, ReservationCallback callback)
 {
     if (request.tokens < 1) {
-        return answer(std::move(callback), makeFailure(FailureCode::InvalidRequest, "a reservation has tokens"));
+        return answer(std::move(callback),
+                      makeFailure(FailureCode::InvalidRequest, "a reservation needs at least 1 token"));
     }
     if (const auto it = m_open.find(request.request); it != m_open.end()) {
         const HeldPortion *portion = it->second.entry->second.find(it->second.portion);
@@ -81,7 +82,7 @@
     m_open.erase(it);
     if (chargedTokens < 0 || chargedTokens > open.tokens) {
         close(open, open.tokens);
-        return makeFailure(FailureCode::InvalidRequest, "charged outside of what was reserved");
+        return makeFailure(FailureCode::InvalidRequest, "the charge is negative or exceeds the reservation");
     }
     close(open, chargedTokens);
     return absl::OkStatus();
@@ -110,7 +111,7 @@
     entry.second.openReservations -= 1;
     HeldPortion *portion = entry.second.find(open.portion);
     if (!portion) {
-        // Lost to a closer, which withholds by itself what the agents cannot prove.
+        // A closer has taken the portion over; it withholds the tokens that the agents cannot prove.
         return;
     }
     portion->reserved -= open.tokens;
@@ -124,8 +125,8 @@
 void BudgetHolder::replacePortions()
 {
     m_replaceTakenBefore = m_timers.now();
-    // A new agent gets no run on a portion before the ledger has confirmed it anew; when all agents of a pool restart,
-    // nothing could run until the next checkpoint.
+    // No run may be sent to a new agent before the ledger has confirmed the portion again. When all agents of a pool
+    // restart, no request could run until the next checkpoint without this report.
     for (Entry &entry : m_budgets) {
         const HeldPortion current = entry.second.current();
         if (current.number != 0 && m_timers.now() - entry.second.lastUsedAt() < m_settings.idleTime) {
@@ -240,9 +241,9 @@
 void BudgetHolder::wait(Entry &entry, const ReservationRequest &request, ReservationCallback callback)
 {
     if (entry.second.waitingCount() >= m_settings.maximumWaiting) {
-        return answer(
-            std::move(callback),
-            makeFailure(FailureCode::BudgetExhausted, "too many wait for this budget", m_settings.exhaustedRetryAfter));
+        return answer(std::move(callback),
+                      makeFailure(FailureCode::BudgetExhausted, "too many requests wait for this budget",
+                                  m_settings.exhaustedRetryAfter));
     }
     const TimerId timer = m_timers.after(request.deadline - m_timers.now(), [this, &entry, id = request.request] {
         handleDeadline(entry, id);
@@ -261,13 +262,13 @@
     if (it == waiting.end()) {
         return;
     }
-    // A budget that has run dry is asked about again and again. That the latest answer is still due is no reason to say
-    // that the ledger is late, when the one before said that there is too little.
+    // The ledger is asked repeatedly about an exhausted budget. If its previous answer reported too few tokens, the
+    // request is refused as exhausted rather than as late, although an answer is still pending.
     const bool isLate = entry.second.isTakePending && !wasRecentlyInsufficient(entry.second, it->request);
     answer(std::move(it->callback),
            isLate ? makeFailure(FailureCode::LedgerLate, "the ledger did not answer in time",
                                 m_settings.unavailableRetryAfter)
-                  : makeFailure(FailureCode::BudgetExhausted, "nothing became free in time",
+                  : makeFailure(FailureCode::BudgetExhausted, "no tokens became free before the deadline",
                                 m_settings.exhaustedRetryAfter));
     waiting.erase(it);
     evaluate(entry);
@@ -304,7 +305,7 @@
     for (WaitingReservation &it : budget.waiting()) {
         const bool isItsTurn = !isBlocked || mayOvertake;
         if (!isItsTurn || !isGrantable(budget, it.request)) {
-            // What has to leave the headroom does not hold up what may use it.
+            // A request that is held back for the headroom does not block later requests that may use the headroom.
             isBlocked |= leavesHeadroom(budget, it.request);
             kept.push_back(std::move(it));
             continue;
@@ -324,9 +325,10 @@
     return isLastFreeRecent(budget) && budget.lastFree < missing;
 }
 
-// While the ledger may bring enough, requests are served in turn: small ones would take each portion before a large one
-// has its share. Once nothing more comes, a large one can only wait for open reservations to end; small ones that
-// waited behind it for its whole patience were refused as late, 150 a second of 250, with room for most of them.
+// While the ledger may still grant enough, waiting requests are served in order; otherwise small requests would use up
+// each grant before a large one has enough. Once no more can come, a large request can only wait for open reservations
+// to end, and small requests may overtake it. When they waited behind it until their deadlines, 150 of 250 requests per
+// second were refused as late, although most of them would have fitted.
 bool BudgetHolder::mayReceiveMore(const HeldBudget &budget) const
 {
     if (m_ledger.isStoreUnavailable(budget.shard())) {
@@ -381,7 +383,8 @@
         return std::nullopt;
     }
     if (m_ledger.isStoreUnavailable(budget.shard())) {
-        return makeFailure(FailureCode::BudgetUnavailable, "the ledger is away and the portion here is used up",
+        return makeFailure(FailureCode::BudgetUnavailable,
+                           "the ledger is unavailable and the portion of this process is used up",
                            m_settings.unavailableRetryAfter);
     }
     if (budget.isTakePending || !isLastFreeCurrent(budget)) {
@@ -397,7 +400,8 @@
     if (!isHeldBack) {
         return std::nullopt;
     }
-    return makeFailure(FailureCode::BudgetLow, "what is left of " + entry.first.toString() + " is for urgent calls",
+    return makeFailure(FailureCode::BudgetLow,
+                       "what is left of " + entry.first.toString() + " is reserved for urgent and small calls",
                        m_settings.lowRetryAfter);
 }
 
@@ -420,7 +424,7 @@
     }
     HeldPortion *portion = entry.second.find(open.portion);
     if (!portion) {
-        // Lost to a closer, which counts the charge from what the agents keep.
+        // A closer has taken the portion over; it counts the charge from the records of the agents.
         return;
     }
     portion->reserved -= open.tokens;
--- a/src/libradishswitch/budgets/budgetholderledger.cpp
+++ b/src/libradishswitch/budgets/budgetholderledger.cpp
@@ -13,7 +13,8 @@
 namespace
 {
 
-/// Below this share of the low-water mark what is asked for no longer waits for other writes.
+/// Below this share of the low-water mark, a request for more tokens is expedited instead of waiting for another write
+/// of the shard.
 constexpr double kExpediteShare = 0.8;
 
 }
@@ -34,7 +35,8 @@
 
 bool BudgetHolder::isLastFreeRecent(const HeldBudget &budget) const
 {
-    // An answer may take as long as the pause before the next question, and a budget has its turn among others.
+    // An answer may take as long as the pause before the next query, and a budget shares its shard's rounds with
+    // others.
     constexpr int kRounds = 4;
     return budget.lastFreeAt != Instant::min()
         && m_timers.now() - budget.lastFreeAt < kRounds * m_settings.exhaustedRecheckInterval;
@@ -58,8 +60,9 @@
     }
     const Instant now = m_timers.now();
     if (budget.isTakePending) {
-        // What was asked for in calm rides along with the shard's next write, which may be far off. A budget whose use
-        // grows meanwhile would be caught by an outage with a portion of the size that it needed then.
+        // A request for tokens with low urgency is sent with the shard's next write, which may be many seconds away. If
+        // the use of the budget grows meanwhile, an outage in that time would leave it with a portion sized for the
+        // earlier use.
         const double low = static_cast<double>(budget.targetSize(now, m_settings)) * m_settings.lowWaterShare;
         if (static_cast<double>(budget.current().available()) < low * kExpediteShare) {
             m_ledger.expedite(budget.shard());
@@ -76,8 +79,9 @@
     }
 }
 
-// Each budget would have the shard written when its own turn comes: of 40 budgets in 8 shards, 5 writes in the 1.4 s
-// that a portion lasts above its low water. One write renews them all, and none of them asks for itself then.
+// Without this, each budget causes a write of the shard at its own time: 40 budgets in 8 shards caused 5 writes of a
+// shard in the 1.4 s that a portion stays above its low-water mark. Here one write refills all of them, and none needs
+// a write of its own soon after.
 void BudgetHolder::handleRound(std::uint32_t shard)
 {
     const auto it = m_budgetsByShard.find(shard);
@@ -107,8 +111,8 @@
     HeldBudget &budget = entry.second;
     const Instant now = m_timers.now();
     const HeldPortion &current = budget.current();
-    // With requests waiting the portion grows instead: what is left in an old one and what a fresh one would bring
-    // cannot serve one request together.
+    // While requests wait, the existing portion grows instead, because one request cannot be served from the rest of an
+    // old portion and a new one together.
     const bool isFresh = current.number == 0 || (isOld(current) && !budget.hasWaiting());
     const std::uint32_t number = isFresh ? ++m_lastNumber : current.number;
     const auto change = std::make_shared<TakePortionChange>(entry.first, portionRequest(budget, number));
@@ -190,7 +194,7 @@
     }
     HeldPortion &current = entry.second.current();
     if (current.number == take.number) {
-        // Parts may have been given away since the question went out, so that what it added is what counts.
+        // Parts of the portion may have been returned since the change was submitted, so only the added tokens count.
         const std::int64_t added = change.granted() - take.granted;
         current.granted += added;
         current.confirmedAt = std::max(current.confirmedAt, take.at);
@@ -217,8 +221,8 @@
 
 void BudgetHolder::dropLostPortion(Entry &entry, std::uint32_t number)
 {
-    // Another process has closed the portion, taking this one for dead. What is open on it goes on: the agents keep
-    // the charges, and the closer counts them. Nothing more is reserved against it.
+    // Another process has closed the portion because it considered this process dead. Requests that run on the portion
+    // continue: the agents keep their charges, and the closer counts them. Nothing more is reserved against it.
     if (entry.second.find(number)) {
         entry.second.remove(number);
         --m_portions;
@@ -250,7 +254,8 @@
                         if (alive.expired()) {
                             return;
                         }
-                        // A portion that another has closed meanwhile is gone as well.
+                        // If a closer has closed the portion in the meantime, it is gone as well, so the status does
+                        // not matter.
                         entry.second.pendingChanges -= 1;
                         entry.second.lastFreeAt = Instant::min();
                         --m_portions;
--- a/src/libradishswitch/budgets/budgetrecord.cpp
+++ b/src/libradishswitch/budgets/budgetrecord.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Far above any real payment, and low enough that a thousand of them can be added up without overflow.
+/// Far above any real payment, and low enough that a thousand payments add up without overflow.
 constexpr std::int64_t kMaximumTopUp = 1'000'000'000'000'000;
 constexpr std::int64_t kMaximumPaid = 1'000 * kMaximumTopUp;
 
@@ -105,23 +105,23 @@
     std::int64_t toppedUp = 0;
     for (const auto &[id, topUp] : m_topUps) {
         if (topUp.tokens <= 0 || topUp.tokens > kMaximumTopUp || toppedUp > kMaximumPaid) {
-            return malformed("payment out of range");
+            return malformed("the amount of a payment is out of range");
         }
         toppedUp += topUp.tokens;
     }
     if (toppedUp != m_paid || m_paid > kMaximumPaid) {
-        return malformed("paid is not the sum of the payments");
+        return malformed("the paid amount is not the sum of the payments");
     }
     if (m_settled < 0 || m_settled > m_paid) {
-        return malformed("more settled than was paid");
+        return malformed("the settled amount is negative or exceeds the paid amount");
     }
     std::int64_t left = m_paid - m_settled;
     for (const auto &[id, portion] : m_portions) {
         if (portion.spent < 0 || portion.granted < portion.spent) {
-            return malformed("portion out of range");
+            return malformed("the granted or spent amount of a portion is out of range");
         }
         if (portion.granted > left) {
-            return malformed("more handed out than was paid");
+            return malformed("the settled and granted amounts exceed the paid amount");
         }
         left -= portion.granted;
     }
@@ -131,7 +131,7 @@
 absl::Status BudgetRecord::topUp(const PaymentId &payment, const TopUpRecord &topUp)
 {
     if (payment.isEmpty() || topUp.tokens <= 0 || topUp.tokens > kMaximumTopUp) {
-        return invalid("a payment has an id and between 1 and 10^15 tokens");
+        return invalid("a payment needs an id and between 1 and 10^15 tokens");
     }
     const auto it = m_topUps.find(payment);
     if (it != m_topUps.end()) {
@@ -143,7 +143,7 @@
                                + " tokens");
     }
     if (m_paid > kMaximumPaid - topUp.tokens) {
-        return invalid("the budget cannot hold more");
+        return invalid("the payments of the budget would exceed 10^18 tokens");
     }
     m_topUps.emplace(payment, topUp);
     m_paid += topUp.tokens;
@@ -188,7 +188,7 @@
     }
     const auto share = static_cast<std::int64_t>(static_cast<double>(available) * request.shareOfFree);
     const std::int64_t grant = std::max(request.needed, std::min(request.desired, share));
-    // A share too small for any request is left for the holder that will need it.
+    // A share that is too small for any request is not granted; it is left for another holder that can use it.
     return grant < request.smallestUseful ? 0 : std::min(grant, available);
 }
 
@@ -199,7 +199,7 @@
         return record.status();
     }
     if (spent > (*record)->granted) {
-        return invalid("more reported than granted");
+        return invalid("the reported spending exceeds the tokens granted to the portion");
     }
     (*record)->spent = std::max((*record)->spent, spent);
     return absl::OkStatus();
@@ -216,7 +216,7 @@
         return absl::OkStatus();
     }
     if (spent > keep || keep > (*record)->granted || keep < (*record)->spent) {
-        return invalid("a portion keeps between what it spent and what it was granted");
+        return invalid("a portion must keep at least its spent tokens and at most its granted tokens");
     }
     (*record)->sequence = sequence;
     (*record)->spent = std::max((*record)->spent, spent);
@@ -235,7 +235,7 @@
         return portionClosed(portion);
     }
     if (spent > it->second.granted) {
-        return invalid("more returned as spent than granted");
+        return invalid("the spent tokens of the returned portion exceed its granted tokens");
     }
     settlePortion(it, spent);
     return absl::OkStatus();
@@ -257,7 +257,7 @@
         return absl::OkStatus();
     }
     if (it->second.state == PortionState::Open) {
-        return invalid("a portion is closed by beginning to close it first");
+        return invalid("the portion is still open; closing must begin before it can finish");
     }
     settlePortion(it, std::min(proved, it->second.granted));
     return absl::OkStatus();
@@ -271,7 +271,7 @@
         return absl::OkStatus();
     }
     if (it->second.state == PortionState::Open) {
-        return invalid("a portion is withheld by beginning to close it first");
+        return invalid("the portion is still open; closing must begin before it can be withheld");
     }
     it->second.state = PortionState::Withheld;
     it->second.spent = std::max(it->second.spent, std::min(proved, it->second.granted));
@@ -295,7 +295,7 @@
         return absl::OkStatus();
     }
     if (tokens < 1 || tokens > (*record)->granted - (*record)->spent) {
-        return invalid("no such part of the portion is unspent");
+        return invalid("the part must have at least 1 token and at most the unspent tokens of the portion");
     }
     (*record)->sequence = sequence;
     (*record)->granted -= tokens;
@@ -328,8 +328,9 @@
         }
         return;
     }
-    // A smaller wish beside a greater one is not written down: holders that ask in turn, or one that asks for each of
-    // its requests, would otherwise cost a write each time. The mark's presence is what makes the others give back.
+    // A smaller shortage does not replace the mark of a larger one. Otherwise holders that ask in turn, or one that
+    // asks for each of its requests, would cause a write each time. The mere presence of the mark makes the other
+    // holders return tokens.
     if (!m_wanted || m_wanted->tokens < request.needed) {
         m_wanted = WantedMark{request.holder, request.needed};
     }
--- a/src/libradishswitch/budgets/heldbudget.cpp
+++ b/src/libradishswitch/budgets/heldbudget.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Weight of a new request in the average size.
+/// Weight of a new request in the average request size.
 constexpr double kSizeStep = 0.1;
 
 double secondsOf(Duration span)
@@ -128,21 +128,21 @@
 
 std::int64_t HeldBudget::targetSize(Instant now, const BudgetHolderSettings &settings) const
 {
-    // More is asked for at the low-water mark, and what is left then must still last for the survival time.
+    // The holder asks for more tokens at the low-water mark, and the rest must then still last for the survival time.
     const Duration survivalTime = isStandIn ? settings.standInSurvivalTime : settings.survivalTime;
     const double lowWater = m_use.tokensWithin(survivalTime, now, settings.use);
     const double byUse = lowWater / settings.lowWaterShare;
-    // Sizes differ a hundredfold. Room for several of whatever came last would hand a small budget to the holder that
-    // saw one large request, and strand it there.
+    // Request sizes differ by a factor of a hundred. Room for several requests of the last size would give a large part
+    // of a small budget to the holder that received one large request, and strand it there.
     const int requestsAhead = isStandIn ? 1 : settings.requestsAhead;
     const double byRequests = std::max(m_typicalTokens * requestsAhead, static_cast<double>(m_lastTokens));
     return std::min(static_cast<std::int64_t>(std::max(byUse, byRequests)), maximumHeld(settings));
 }
 
-// What is held is lost to the budget with its holders, and all of them may be killed at once. While much of a budget is
-// left it is worth more to go on through an outage; near its end, to go on after a loss of power, where a rest that
-// lies with the dead would have every later call refused. So the share that is held shrinks with the share that is
-// left.
+// The tokens that a holder has are lost to the budget when the holder dies, and all holders may die at once, for
+// instance through a loss of power. While much of a budget is left, it is more useful to hold enough to get through an
+// outage of the store. Near the end of a budget it is more useful to limit that loss, because every later call would be
+// refused if the rest were stranded with dead holders. So the held share decreases with the share that is left.
 std::int64_t HeldBudget::maximumHeld(const BudgetHolderSettings &settings) const
 {
     if (lastFreeAt == Instant::min() || settings.mostHeldShare >= 1) {
@@ -179,11 +179,11 @@
     return std::max<std::int64_t>(useful, 1);
 }
 
-// A budget near its end, or a portion that has to last through an outage, would go to whatever comes first: long calls
-// of low urgency take most of the tokens, and short ones are refused from then on. The rest that is kept serves these
-// alone; where they take an eighth of the tokens, eight times as long as all. Urgent calls that are larger than the
-// usual ones would end it as soon: of 0.03 of a budget they had 1.5 seconds, and small calls none. So they leave half
-// of it to the small ones.
+// Without headroom, a budget near its end, or a portion during an outage, is used up by whatever requests come first.
+// Long requests of low urgency take most of the tokens, and short ones are refused from then on. The headroom serves
+// only urgent and small requests; where these take an eighth of the tokens, it lasts them eight times as long. Large
+// urgent requests would use it up just as quickly: a headroom of 0.03 of a budget lasted them 1.5 seconds, and small
+// requests got nothing. So they must leave a share of it to the small ones.
 double HeldBudget::requiredHeadroomPart(const ReservationRequest &request, const BudgetHolderSettings &settings) const
 {
     const auto tokens = static_cast<double>(request.tokens);
--- a/src/libradishswitch/budgets/holderreservations.cpp
+++ b/src/libradishswitch/budgets/holderreservations.cpp
@@ -20,7 +20,8 @@
     });
 }
 
-// A charge outside what was reserved is charged in full by the holder, which never spends more than it holds.
+// The error is ignored: for a charge outside the reservation the holder charges the whole reservation, so it never
+// spends more than it holds.
 void HolderReservations::settle(const RequestId &request, std::int64_t tokens)
 {
     (void)m_holder.settle(request, tokens);
--- a/src/libradishswitch/budgets/ledger.cpp
+++ b/src/libradishswitch/budgets/ledger.cpp
@@ -163,8 +163,8 @@
     m_calls.acquire([this, value] {
         m_store.put(kLedgerMetaKey, value, 0,
                     [this, alive = std::weak_ptr<int>(m_alive)](const absl::StatusOr<std::uint64_t> &) {
-                        // Whatever the answer is, what the object holds now is what counts: another may have written it
-                        // first.
+                        // The answer does not matter: another process may have created the object first, so the object
+                        // is read again.
                         if (!alive.expired()) {
                             readMeta();
                         }
@@ -179,12 +179,13 @@
         json.is_object() && json.contains(kShardCountField) && json[kShardCountField].is_number_unsigned();
     if (!isReadable) {
         m_metaState = MetaState::Differs;
-        m_metaStatus = makeFailure(FailureCode::ObjectMalformed, "ledger/meta is not readable");
+        m_metaStatus = makeFailure(FailureCode::ObjectMalformed,
+                                   "the value of ledger/meta is not a JSON object with a shard count");
     } else if (json[kShardCountField].get<std::uint64_t>() != m_settings.shardCount) {
         m_metaState = MetaState::Differs;
         m_metaStatus = makeFailure(FailureCode::InvalidSettings,
-                                   "the ledger has " + json[kShardCountField].dump() + " shards, the settings say "
-                                       + std::to_string(m_settings.shardCount));
+                                   "the ledger has " + json[kShardCountField].dump()
+                                       + " shards, but the settings specify " + std::to_string(m_settings.shardCount));
     } else {
         m_metaState = MetaState::Matches;
     }
--- a/src/libradishswitch/budgets/ledgereditor.cpp
+++ b/src/libradishswitch/budgets/ledgereditor.cpp
@@ -130,7 +130,7 @@
 {
     if (operatorName.empty() || reason.empty()) {
         return m_tasks.post([callback = std::move(callback)] {
-            callback(makeFailure(FailureCode::InvalidRequest, "a release names its operator and a reason"));
+            callback(makeFailure(FailureCode::InvalidRequest, "a release needs the name of the operator and a reason"));
         });
     }
     const std::int64_t now = m_timers.wallClockMilliseconds();
--- a/src/libradishswitch/budgets/ledgershard.cpp
+++ b/src/libradishswitch/budgets/ledgershard.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kMaximumNameLength = 200;
 
-/// The library refuses to write text that is not UTF-8.
+/// Whether a text is valid UTF-8: the JSON library refuses to serialize any other text.
 bool isUtf8(const std::string &text)
 {
     try {
@@ -63,7 +63,7 @@
 {
     const std::string &organisation = budget.organisation.value();
     if (!isStorableName(organisation) || !isStorableName(budget.name) || organisation.find('/') != std::string::npos) {
-        return makeFailure(FailureCode::InvalidRequest, "not a budget's name");
+        return makeFailure(FailureCode::InvalidRequest, "invalid name of a budget or organisation");
     }
     const bool isNew = m_budgets.emplace(budget, BudgetRecord()).second;
     m_isModified = m_isModified || isNew;
--- a/src/libradishswitch/budgets/ledgershardformat.cpp
+++ b/src/libradishswitch/budgets/ledgershardformat.cpp
@@ -27,7 +27,7 @@
     StateName{PortionState::Withheld, "withheld"},
 };
 
-/// Thrown inside this file only, beside the parser's own exceptions, and turned into ObjectMalformed.
+/// Thrown and caught only in this file, as the exceptions of the JSON parser are, and converted to ObjectMalformed.
 struct FormatError {
 };
 
@@ -60,7 +60,7 @@
     return BudgetId{OrganisationId(name.substr(0, n)), name.substr(n + 1)};
 }
 
-/// Numbers are kept whole: 1.5 or "1" in an amount is a damaged object.
+/// Reads an amount. Amounts are integers: 1.5 or "1" means that the object is damaged.
 std::int64_t amount(const Json &json, const char *field)
 {
     const Json &value = json.at(field);
@@ -194,9 +194,9 @@
         shard.m_foldedAuditEntries = static_cast<std::uint64_t>(amount(json, "foldedAuditEntries"));
         shard.m_fences = static_cast<std::uint64_t>(amount(json, "fences"));
     } catch (const Json::exception &) {
-        return malformed("not the expected JSON");
+        return malformed("the value is not JSON of the expected form");
     } catch (const FormatError &) {
-        return malformed("a value is not of its kind");
+        return malformed("a value has the wrong type or an unknown name");
     }
     for (const auto &[id, record] : shard.m_budgets) {
         if (const absl::Status status = record.check(); !status.ok()) {
--- a/src/libradishswitch/budgets/portioncloser.cpp
+++ b/src/libradishswitch/budgets/portioncloser.cpp
@@ -168,8 +168,8 @@
         return;
     }
     if (closing.proof.provedTokens() < closing.reported) {
-        // The holder had settled charges that no agent remembers: an agent is gone that nobody told of, and what it
-        // charged after the holder's last word is known to nobody.
+        // The holder reported charges that no agent remembers. An agent that is not listed any more must have made
+        // them, and its charges after the holder's last report are lost.
         return withhold(job, portion, closing, "agents remember less than the holder reported", {});
     }
     const std::set<std::string> younger = closing.proof.agentsYoungerThan(ageOf(closing));
@@ -182,8 +182,8 @@
     finish(job, portion, closing);
 }
 
-// The clock of the holder's instance and that of this one are compared here, against the rule that wall clocks decide
-// nothing. It can only withhold what would be settled otherwise, and free nothing.
+// This compares the wall clock of the holder's instance with that of this one, although wall clocks decide nothing
+// elsewhere. A wrong clock can only cause tokens to be withheld that would otherwise be settled; it never frees tokens.
 Duration PortionCloser::ageOf(const Closing &closing) const
 {
     const std::int64_t age = m_timers.wallClockMilliseconds() - closing.takenAtMilliseconds;
@@ -206,7 +206,7 @@
 {
     const Instant limit = m_timers.now() - m_settings.withholdAfter;
     if (missing.empty()) {
-        // No agent known at all is no proof that none ran anything: this process may not have heard of them yet.
+        // An empty list of agents does not prove that nothing ran: this process may not have discovered the agents yet.
         return job.startedAt <= limit;
     }
     return std::any_of(missing.begin(), missing.end(), [&](const std::string &agent) {
--- a/src/libradishswitch/budgets/portionsweep.cpp
+++ b/src/libradishswitch/budgets/portionsweep.cpp
@@ -41,8 +41,8 @@
     }
 }
 
-// Spread over the recheck interval: a death is seen by all homes at the same moment, and their reads would come at the
-// store together.
+// The inspections are spread over the recheck interval: all homes see a death at the same time, and their reads would
+// otherwise reach the store together.
 void PortionSweep::scheduleInspection(std::uint32_t shard)
 {
     const Duration delay(static_cast<Duration::rep>(m_random.below(m_settings.recheck.count())));
@@ -71,9 +71,9 @@
     std::set<IncarnationId> dead;
     for (const auto &[budget, record] : object->budgets()) {
         for (const auto &[id, portion] : record.portions()) {
-            const HolderState standing = m_holders.stateOf(portion.holder);
-            isMissing = isMissing || standing == HolderState::Missing;
-            if (standing == HolderState::Dead) {
+            const HolderState state = m_holders.stateOf(portion.holder);
+            isMissing = isMissing || state == HolderState::Missing;
+            if (state == HolderState::Dead) {
                 dead.insert(portion.holder);
             }
         }
--- a/src/libradishswitch/budgets/shardcollector.cpp
+++ b/src/libradishswitch/budgets/shardcollector.cpp
@@ -71,7 +71,7 @@
 
 bool ShardCollector::isComplete() const
 {
-    // An entry that knows of no agent has not heard of them yet.
+    // With no known agent the list of agents has not arrived yet, so the collection is not complete.
     return m_open == 0 && !m_agents.empty();
 }
 
--- a/src/libradishswitch/budgets/shardwriter.cpp
+++ b/src/libradishswitch/budgets/shardwriter.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Doublings after which a pause no longer grows by itself.
+/// Maximum number of doublings of the backoff; keeps the shift within range.
 constexpr int kMaximumDoublings = 20;
 
 }
@@ -97,7 +97,7 @@
 
 void ShardWriter::applyToCached()
 {
-    // Taken out for this round: whatever becomes of the write, only a success brings it back.
+    // The cached shard is removed for this round; only a successful write or read puts it back.
     LedgerShard shard = *std::exchange(m_cached, std::nullopt);
     shard.clearModified();
     m_isFromCache = true;
@@ -140,7 +140,8 @@
         it.status = it.change->apply(shard);
     }
     if (std::exchange(m_isFromCache, false) && (!shard.isModified() || hasFailures())) {
-        // What a kept shard says is proved by a conditional write alone; others may have written since.
+        // The cached shard may be outdated, since other processes may have written the object. Only a conditional write
+        // can confirm it, so a result without a write needs a fresh read.
         return read();
     }
     if (!shard.isModified()) {
@@ -186,7 +187,7 @@
     case FailureCode::ObjectTooLarge:
         return handleTooLarge();
     case FailureCode::StoreTimeout:
-        // The write may have taken effect. The next round reads it back before it writes anything.
+        // The write may have taken effect. The next round reads the object again before it writes.
         return retryAfterConflict();
     default:
         return retryAfterFailure();
@@ -195,7 +196,8 @@
 
 void ShardWriter::cacheShard(std::uint64_t version, LedgerShard shard)
 {
-    // Where others write too, a round that begins with the kept shard mostly costs a refused write.
+    // When other processes also write the shard, a round that starts from the cached shard usually costs a rejected
+    // write.
     if (m_settings.cachesShards && version != 0 && m_conflicts == 0) {
         m_cached = std::move(shard);
         m_cachedVersion = version;
@@ -205,7 +207,8 @@
 void ShardWriter::handleTooLarge()
 {
     if (m_batch.size() > 1) {
-        // One change that does not fit must not hold up those that make the object smaller.
+        // A change that does not fit must not block the changes that make the object smaller, so the changes are
+        // written one by one.
         m_queue.insert(m_queue.begin(), std::make_move_iterator(m_batch.begin()),
                        std::make_move_iterator(m_batch.end()));
         m_batch.clear();
@@ -251,7 +254,7 @@
 {
     const int doublings = std::min(std::max(m_failures, m_conflicts) - 1, kMaximumDoublings);
     const Duration whole = std::min(m_settings.longestBackoff, m_settings.firstBackoff * (1 << std::max(doublings, 0)));
-    // Jitter: the shards and processes that failed together must not come back together.
+    // Jitter keeps shards and processes that failed together from retrying together.
     return whole / 2 + Duration(static_cast<Duration::rep>(m_ports.random.below(whole.count() / 2 + 1)));
 }
 
--- a/src/libradishswitch/budgets/tokenuse.cpp
+++ b/src/libradishswitch/budgets/tokenuse.cpp
@@ -23,8 +23,9 @@
     m_squares.note(amount * amount, now, longTime(settings));
 }
 
-// A short average follows a surge, and of a budget with a call a second it is mostly chance: over four seconds half of
-// such portions lasted half as long as they should. So the greater of a short and a long one counts.
+// A short average follows a surge quickly, but for a budget with one call per second it is mostly random: with an
+// average over four seconds, half of such portions lasted half as long as they should. So the larger of a short and a
+// long average counts.
 double TokenUse::tokensPerSecond(Instant now, const TokenUseSettings &settings) const
 {
     const Duration span = observedTime(now, settings);
@@ -32,9 +33,9 @@
                     m_longTokens.perSecond(now, span, longTime(settings)));
 }
 
-// Calls come by chance and their sizes differ a hundredfold. The variance of what they use together is the sum of the
-// squares of their sizes; next to the average it is small for a budget with twenty calls a second and as large as it
-// for one with a call a second.
+// Calls arrive at random and their sizes differ by a factor of a hundred. The variance of their total use is the sum of
+// the squares of their sizes. Relative to the average it is small for a budget with twenty calls per second, and as
+// large as the average for one with one call per second.
 double TokenUse::tokensWithin(Duration span, Instant now, const TokenUseSettings &settings) const
 {
     const double seconds = std::chrono::duration<double>(span).count();
@@ -47,9 +48,8 @@
     return std::max(settings.longAveragingTime, settings.averagingTime);
 }
 
-// The average begins at nothing, and would take a budget that has just come into use for one that is hardly used: its
-// portion would be dry long before the survival time when the store goes away then. So it is set against the weight
-// that it can have gathered so far.
+// The average starts at zero and would underestimate a budget that has just come into use: in an outage, its portion
+// would be used up long before the survival time. So the average is scaled to the time that was actually observed.
 Duration TokenUse::observedTime(Instant now, const TokenUseSettings &settings) const
 {
     return std::max<Duration>(now - m_since, settings.shortestAverage);
--- a/src/libradishswitch/budgets/topupchange.cpp
+++ b/src/libradishswitch/budgets/topupchange.cpp
@@ -20,7 +20,7 @@
 absl::Status TopUpChange::apply(LedgerShard &shard)
 {
     if (!isStorableName(m_payment.value())) {
-        return makeFailure(FailureCode::InvalidRequest, "not a payment's id");
+        return makeFailure(FailureCode::InvalidRequest, "invalid payment id");
     }
     const BudgetRecord *record = shard.find(m_budget);
     const bool isBooked = record && record->topUps().contains(m_payment);
