--- a/tests/core/budgets/allowancechange_test.cpp
+++ b/tests/core/budgets/allowancechange_test.cpp
@@ -22,7 +22,7 @@
     LedgerShard shard;
 };
 
-TEST_F(AllowanceChangeTest, total_isBookedOnceHoweverOftenItIsTold)
+TEST_F(AllowanceChangeTest, apply_sameVersionTwice_booksOnce)
 {
     apply(3, 1000);
     apply(3, 1000);
@@ -30,22 +30,22 @@
     EXPECT_EQ(shard.find(budget)->topUps().size(), 1U);
 }
 
-TEST_F(AllowanceChangeTest, laterTotal_isReachedByThePaymentThatIsMissing)
+TEST_F(AllowanceChangeTest, apply_laterVersion_booksTheDifference)
 {
     apply(3, 1000);
     apply(7, 1500);
     EXPECT_EQ(paid(), 1500);
 }
 
-// A gateway that was cut off brings an older version after a newer one was booked.
-TEST_F(AllowanceChangeTest, olderVersion_changesNothing)
+// A gateway that was disconnected submits an older version after a newer one was booked.
+TEST_F(AllowanceChangeTest, apply_olderVersion_changesNothing)
 {
     apply(7, 1500);
     apply(3, 1800);
     EXPECT_EQ(paid(), 1500);
 }
 
-TEST_F(AllowanceChangeTest, lowerTotal_takesNothingBack)
+TEST_F(AllowanceChangeTest, apply_lowerTotal_leavesPaidUnchanged)
 {
     apply(3, 1000);
     apply(7, 400);
--- a/tests/core/budgets/budgetfailures_test.cpp
+++ b/tests/core/budgets/budgetfailures_test.cpp
@@ -3,14 +3,15 @@
 namespace RadishSwitch
 {
 
-/// What a holder and an operator go through when answers are lost, the store is away, regions are apart, or a process
-/// is paused.
+/// A holder and an operator when answers are lost, the store is unavailable, regions are partitioned, or a process is
+/// paused.
 class BudgetFailuresTest : public BudgetFixture
 {
 };
 
-// The caller's portion request reached the store and the answer was lost. The holder reads back, finds the portion
-// under its own id and sequence, and goes on with it. Taking a second one would strand the first until a closer came.
+// The holder's request for a portion reaches the store, but the answer is lost. The holder reads the object again,
+// finds the portion under its own id and sequence, and uses it. A second portion would strand the first one until a
+// closer settles it.
 TEST_F(BudgetFailuresTest, reserve_answerOfTakeLost_takesOnePortionOnce)
 {
     topUp("p", 1000);
@@ -24,8 +25,8 @@
     EXPECT_EQ(record().granted(), process->holder->budgetStatus(kBudget)->portions.at(0).granted);
 }
 
-// Checkpoints and returns lose their answers too. Spending is told as an absolute total and a return ends the portion,
-// so whatever is told twice counts once: after the planned stop exactly what was used is settled.
+// Answers to reports and returns are lost as well. Spending is reported as a total and a return ends the portion, so a
+// change that is submitted twice counts once: after the stop exactly the used tokens are settled.
 TEST_F(BudgetFailuresTest, stop_answersOfSettlementsLost_settlesExactlyWhatWasUsed)
 {
     topUp("p", 1000);
@@ -47,8 +48,9 @@
     EXPECT_EQ(record().granted(), 0);
 }
 
-// A planned stop while a request is open: new ones are refused, the open one ends in its own time, then the portion
-// goes back. Returning it earlier would let another holder spend what the open request is about to use.
+// A planned stop while a reservation is open: new requests are refused, the open one ends in its own time, and then the
+// portion is returned. If it were returned earlier, another holder could spend the tokens that the open request is
+// about to use.
 TEST_F(BudgetFailuresTest, stop_reservationOpen_waitsForItAndReturnsEverything)
 {
     topUp("p", 1000);
@@ -73,9 +75,10 @@
     EXPECT_EQ(record().free(), 930);
 }
 
-// The store goes away for an hour. Requests go on against the portion until it is used up; the next is refused at
-// once and told when to come back. The store returns slowly, and requests are served again without a second portion.
-TEST_F(BudgetFailuresTest, reserve_storeAwayForAnHour_goesOnThenRefusesAtOnceThenRecovers)
+// The store is unavailable for an hour. Requests are served from the portion until it is used up; the next one is
+// refused at once with a time to retry. The store comes back slowly, and requests are served again without a second
+// portion.
+TEST_F(BudgetFailuresTest, reserve_storeUnavailableForAnHour_usesPortionThenRefusesThenRecovers)
 {
     topUp("p", 1'000'000);
     const auto process = start("h1");
@@ -108,9 +111,9 @@
     expectLedgerHolds();
 }
 
-// A process starts while the store is away. It holds nothing, so its callers hear at once that the budget cannot be
-// reached and when to come back, and are served soon after the store is there.
-TEST_F(BudgetFailuresTest, reserve_storeAwaySinceStart_refusesAtOnceAndRecovers)
+// A process starts while the store is unavailable. It has no portion, so callers are refused at once with a time to
+// retry, and are served soon after the store is back.
+TEST_F(BudgetFailuresTest, reserve_storeUnavailableSinceStart_refusesAtOnceAndRecovers)
 {
     topUp("p", 1000);
     const auto process = start("h1");
@@ -128,9 +131,9 @@
     EXPECT_TRUE(spend(*process, "t", 100, 50));
 }
 
-// Two regions lose each other and the store for an hour, one after the other, while the budget is topped up twice.
-// Each goes on with what it holds. Whatever order the rest comes in, they can together spend no more than was paid.
-TEST_F(BudgetFailuresTest, reserve_regionsApartWhileToppedUpTwice_spendNoMoreThanPaid)
+// Two regions lose the connection to the store and to each other one after the other, while the budget is topped up
+// twice. Each region continues with its own portion. In any order of events, together they spend no more than was paid.
+TEST_F(BudgetFailuresTest, reserve_regionsPartitionedWhileToppedUpTwice_spendNoMoreThanPaid)
 {
     topUp("p1", 20'000);
     const auto south = start("s", "south");
@@ -161,10 +164,10 @@
     EXPECT_GE(spent, 40'000 - 2 * 200) << "what is left over at the end should not serve a request";
 }
 
-// A holder is paused for minutes; a closer takes it for dead, and closes its portion. When it goes on it knows nothing
-// of that. Its next word to the ledger is refused; it drops the portion and takes a fresh one. What was open on the
-// old one is the closer's to count, so settling it here must not be charged to the new portion.
-TEST_F(BudgetFailuresTest, report_portionClosedMeanwhile_dropsItAndTakesAFreshOne)
+// A holder is paused for minutes, and a closer considers it dead and closes its portion. When the holder continues, its
+// next change is refused; it drops the portion and takes a new one. The closer counts the reservations on the old
+// portion, so settling one of them here must not charge the new portion.
+TEST_F(BudgetFailuresTest, report_portionClosedMeanwhile_dropsItAndTakesANewOne)
 {
     topUp("p", 1000);
     const auto process = start("h1");
@@ -187,8 +190,9 @@
     EXPECT_EQ(record().portions().begin()->second.spent, 20);
 }
 
-// A payment's answer is lost, the operator's tool tries again by itself, and the operator, unsure, tells it once more.
-TEST_F(BudgetFailuresTest, editor_paymentToldAgainAfterLostAnswer_countsOnceWithOneAuditEntry)
+// The answer to a top-up is lost, the operator's tool retries it, and the operator, who is unsure of the outcome,
+// submits the payment once more.
+TEST_F(BudgetFailuresTest, editor_paymentSubmittedAgainAfterLostAnswer_countsOnceWithOneAuditEntry)
 {
     StoreLink link(store, tasks, timers);
     Ledger ledger(link, timers, random, ledgerSettings);
@@ -219,8 +223,9 @@
     EXPECT_EQ(audit->value().size(), 3u);
 }
 
-// Guards against callers who are told that a budget is used up while it has plenty, and the ledger does not answer.
-TEST_F(BudgetFailuresTest, reserve_ledgerSilentAfterItSaidThatMuchIsFree_isLateAndNotExhausted)
+// While the budget has plenty of free tokens and the ledger does not answer, callers must not be told that the budget
+// is exhausted.
+TEST_F(BudgetFailuresTest, reserve_ledgerDoesNotAnswerWhileMuchIsFree_isLateAndNotExhausted)
 {
     holderSettings.shareOfFree = 0.01;
     topUp("p", 1'000'000);
--- a/tests/core/budgets/budgetfixture.h
+++ b/tests/core/budgets/budgetfixture.h
@@ -20,7 +20,7 @@
 
 inline const BudgetId kBudget{OrganisationId("magnolia"), "quotes"};
 
-/// A store, virtual time, and processes that each have their own way to the store.
+/// A store in memory, virtual time, and processes that each have their own connection to the store.
 class BudgetFixture : public ::testing::Test
 {
 protected:
@@ -44,7 +44,7 @@
         std::optional<BudgetHolder> holder;
     };
 
-    /// What became of a reservation.
+    /// The result of a reservation and the time at which it arrived.
     struct Answer {
         std::optional<absl::StatusOr<Reservation>> result;
         Instant at{};
@@ -63,7 +63,7 @@
     BudgetFixture()
     {
         ledgerSettings.shardCount = 2;
-        // Most tests look at one budget, and so at what a budget that runs low does.
+        // Most tests use one budget that runs low, so the intervals for other budgets are set to the same values.
         ledgerSettings.relaxedDelay = ledgerSettings.soonDelay;
         holderSettings.relaxedCheckpointInterval = holderSettings.checkpointInterval;
         holderSettings.survivalTime = Seconds(90);
@@ -74,7 +74,7 @@
         return std::make_unique<Process>(*this, incarnation, region);
     }
 
-    /// Lets everything happen for a span of virtual time.
+    /// Advances virtual time by `span` and runs all tasks and timers.
     void run(Duration span, Duration step = Milliseconds(5))
     {
         const Instant end = timers.now() + span;
@@ -105,7 +105,7 @@
         return answer;
     }
 
-    /// Reserves, runs and settles at once; whether it was granted.
+    /// Reserves and settles at once; returns whether the reservation was granted.
     bool spend(Process &process, const std::string &request, std::int64_t reserved, std::int64_t charged)
     {
         const auto answer = reserve(process, request, reserved);
@@ -129,14 +129,14 @@
         return found ? *found : BudgetRecord();
     }
 
-    /// The record keeps its rule, and what was truly used is within what was paid.
+    /// Checks the invariant of the record, and that the tokens that requests really used do not exceed those paid.
     void expectLedgerHolds() const
     {
         EXPECT_TRUE(record().check().ok());
         EXPECT_LE(spent, record().paid());
     }
 
-    /// Changes the record in the store as some other process would.
+    /// Changes the record in the store in place of another process.
     void editRecord(const std::function<absl::Status(BudgetRecord &)> &change)
     {
         const std::string key = ledgerShardKey(ledgerShardOf(kBudget, ledgerSettings.shardCount));
@@ -152,7 +152,7 @@
     MemoryObjectStore store{tasks};
     LedgerSettings ledgerSettings;
     BudgetHolderSettings holderSettings;
-    /// Tokens that the test's requests truly used.
+    /// Tokens that the test's requests really used.
     std::int64_t spent = 0;
 
 private:
--- a/tests/core/budgets/budgetheadroom_test.cpp
+++ b/tests/core/budgets/budgetheadroom_test.cpp
@@ -14,7 +14,7 @@
 
 }
 
-/// One holder of a budget of which a tenth is left to urgent calls.
+/// One holder of a budget of which a tenth is reserved as headroom for urgent calls.
 class BudgetHeadroomTest : public BudgetFixture
 {
 protected:
@@ -38,7 +38,7 @@
         return answer;
     }
 
-    /// Reserves, and settles the whole of it; whether it was granted.
+    /// Reserves tokens and settles all of them; returns whether the reservation was granted.
     bool use(std::int64_t tokens, bool isUrgent)
     {
         const auto answer = ask(tokens, isUrgent);
@@ -60,8 +60,8 @@
         }
     }
 
-    /// One minute of a budget that lasts for 17 seconds of it: four long drafts of 12,000 tokens and ten urgent
-    /// questions of 1,100 a second. Gives how many questions were granted.
+    /// One minute of load that uses up the budget in 17 seconds: each second four long drafts of 12,000 tokens and ten
+    /// urgent questions of 1,100 tokens. Returns the number of questions that were granted.
     int grantedQuestionsOfAMinute()
     {
         constexpr int kSeconds = 60;
@@ -87,9 +87,9 @@
 
 TEST_F(BudgetHeadroomTest, reserve_onlyHeadroomLeft_longCallsAreRefusedAndUrgentOnesGranted)
 {
-    // A budget is used up but for the tenth that is kept. A caller of a long draft is told at once that the rest is for
-    // urgent calls, and when it makes sense to ask again; that the balance does not cover it would be untrue. Urgent
-    // questions are answered until nothing is left.
+    // A budget is used up except for its headroom of a tenth. The caller of a long draft is refused at once with
+    // BudgetLow, which says that the rest is for urgent calls, and with a time to retry; BudgetExhausted would be
+    // wrong. Urgent questions are answered until nothing is left.
     startHolder();
     useAllBut(90'000);
     run(Seconds(2));
@@ -105,11 +105,11 @@
     expectLedgerHolds();
 }
 
-TEST_F(BudgetHeadroomTest, reserve_urgentCallsAreTheLargest_halfOfTheRestServesTheSmallOnes)
+TEST_F(BudgetHeadroomTest, reserve_urgentCallsAreTheLargest_halfOfTheHeadroomServesSmallOnes)
 {
-    // Urgent summaries of 9,000 tokens and chats of 900 share a budget, and a tenth of it is left. Given to the
-    // summaries, the rest is gone with the next eleven, and every chat is refused from then on. With half of it kept
-    // for calls that are small against the usual ones, it answers five summaries and more than fifty chats.
+    // Urgent summaries of 9,000 tokens and chats of 900 share a budget, of which a tenth is left. If the summaries
+    // could use all of it, the next eleven would use it up, and every later chat would be refused. With half of it
+    // reserved for calls that are small compared to the average, six summaries and more than fifty chats are answered.
     startHolder();
     for (int n = 0; n < 100; ++n) {
         ASSERT_TRUE(use(8'000, true));
@@ -158,10 +158,10 @@
     expectLedgerHolds();
 }
 
-TEST_F(BudgetHeadroomTest, reserve_urgentBehindOneThatIsHeldBack_isNotHeldUp)
+TEST_F(BudgetHeadroomTest, reserve_urgentBehindRequestHeldBackForHeadroom_isGrantedAtOnce)
 {
-    // A long call waits to hear from the ledger whether it may go on, and an urgent one comes behind it. In turn, the
-    // urgent one would wait for an answer that does not concern it.
+    // A long call waits for the ledger to report whether enough is left, and an urgent call arrives behind it. Served
+    // in order, the urgent call would wait for an answer that does not concern it.
     startHolder();
     useAllBut(90'000);
     run(Seconds(2));
@@ -174,10 +174,10 @@
     EXPECT_TRUE(question->isGranted());
 }
 
-TEST_F(BudgetHeadroomTest, reserve_storeAway_aFifthOfThePortionStaysForUrgentCalls)
+TEST_F(BudgetHeadroomTest, reserve_storeUnavailable_aFifthOfThePortionStaysForUrgentCalls)
 {
-    // The store goes away and the portion has to last until it is back. Long calls use most of it and are refused
-    // then, at once; urgent ones go on with the rest.
+    // The store becomes unavailable, and the portion has to last until it is back. Long calls use most of the portion
+    // and are then refused at once; urgent calls continue with the rest.
     startHolder();
     ASSERT_TRUE(use(10'000, false));
     run(Seconds(2));
@@ -195,10 +195,10 @@
     EXPECT_TRUE(use(1'000, true));
 }
 
-TEST_F(BudgetHeadroomTest, loadOfAMinute_budgetEndsInIt_urgentCallsGoOnSevenSecondsLonger)
+TEST_F(BudgetHeadroomTest, reserve_budgetEndsWithinAMinute_headroomServesUrgentCallsSevenSecondsLonger)
 {
     // Drafts take most of a budget, and it ends in the 17th second. Without headroom every later question is refused.
-    // With it drafts end after 15 seconds, and the tenth that is left lasts the questions alone for another nine.
+    // With headroom, drafts end after 15 seconds, and the tenth that is left lasts the questions for another nine.
     startHolder();
     const int withHeadroom = grantedQuestionsOfAMinute();
 
@@ -206,7 +206,7 @@
     expectLedgerHolds();
 }
 
-TEST_F(BudgetHeadroomTest, loadOfAMinute_noHeadroom_questionsEndWithTheDrafts)
+TEST_F(BudgetHeadroomTest, reserve_noHeadroom_urgentCallsEndWithTheLongOnes)
 {
     startHolder(0);
 
--- a/tests/core/budgets/budgetholder_test.cpp
+++ b/tests/core/budgets/budgetholder_test.cpp
@@ -102,8 +102,9 @@
     EXPECT_EQ(process->holder->budgetStatus(kBudget)->available, 100);
 }
 
-// Near the end of a budget a request asks for more than is left, while another is open whose worst case is far above
-// what it will use. The caller waits for that one to end, and is served then, well before its own deadline.
+// Near the end of a budget, a request needs more than is available while another reservation is open that will use far
+// less than it reserved. The request waits for that reservation to end and is then served, well before its own
+// deadline.
 TEST_F(BudgetHolderTest, reserve_openReservationCanFreeEnough_waitsAndIsServed)
 {
     topUp("p", 100);
@@ -119,8 +120,8 @@
     EXPECT_TRUE(waiting->isGranted());
 }
 
-// The same, but the open request uses nearly all it had reserved. From that moment nothing can cover the one that
-// waits, so it gets its answer at that moment and not at its deadline.
+// As above, but the open request uses nearly all of its reservation. From then on nothing can free enough for the
+// waiting request, so it is refused at that moment and not at its deadline.
 TEST_F(BudgetHolderTest, reserve_openReservationFreesTooLittle_isRefusedAtThatMoment)
 {
     topUp("p", 100);
@@ -170,9 +171,9 @@
     expectLedgerHolds();
 }
 
-// A caller is refused as exhausted though not all that was paid is used: another process keeps the rest for a call that
-// runs there. Whoever reads the logs has to see that, and not a budget that was used up.
-TEST_F(BudgetHolderTest, reserve_restLiesInAnothersPortion_tellsHowTheBudgetStands)
+// A caller is refused as exhausted although not all paid tokens are used, because another process holds the rest for a
+// call in progress. The logs must show that, rather than a budget that was used up.
+TEST_F(BudgetHolderTest, reserve_restHeldByAnotherProcess_reportsBudgetAmounts)
 {
     topUp("p", 100);
     const auto other = start("h1");
@@ -193,7 +194,7 @@
     EXPECT_EQ(listener.dry.at(0).portions, 1u);
 }
 
-TEST_F(BudgetHolderTest, stop_portionsTakenAndReturned_allOfThemAreTold)
+TEST_F(BudgetHolderTest, stop_portionsTakenAndReturned_listenerGetsAllOfThem)
 {
     topUp("p", 100'000);
     const auto process = start("h1");
@@ -223,9 +224,9 @@
     EXPECT_TRUE(waiting->isRefusedWith(FailureCode::BudgetExhausted));
 }
 
-// A request waits for an open one that takes all of its budget. The ledger has said that nothing more is there, and is
-// asked again just as the request's time runs out. Its caller hears that the budget is used up, and when to come back;
-// that the ledger was late would send it to look for an outage.
+// A request waits for an open one that has reserved most of the budget. The ledger has reported that nothing more is
+// free, and is being asked again when the request's deadline passes. The caller must be told that the budget is
+// exhausted and when to retry. That the ledger was late would make it look for an outage.
 TEST_F(BudgetHolderTest, reserve_deadlinePassesWhileTheLedgerIsAskedAgain_isExhaustedAndNotLate)
 {
     topUp("p", 100);
@@ -244,8 +245,9 @@
     }
 }
 
-// One region holds far more than it uses, the other is short. The short one is refused at once, but leaves its mark;
-// the other sees it at its next checkpoint and gives back what it does not need, so that the retry is served.
+// One region holds far more than it uses, and the other lacks tokens. The other region's request is refused at once,
+// but leaves a wanted mark. The first holder sees the mark at its next checkpoint and returns its surplus, so that the
+// retry is served.
 TEST_F(BudgetHolderTest, reserve_restStrandedInOtherRegion_isServedAfterRebalancing)
 {
     topUp("p", 10'000);
@@ -297,7 +299,7 @@
     EXPECT_EQ(record().settled(), spent);
 }
 
-TEST_F(BudgetHolderTest, checkpoint_budgetFarFromDry_writesSeldom)
+TEST_F(BudgetHolderTest, checkpoint_budgetFarFromExhausted_writesRarely)
 {
     ledgerSettings.relaxedDelay = LedgerSettings().relaxedDelay;
     holderSettings.relaxedCheckpointInterval = BudgetHolderSettings().relaxedCheckpointInterval;
@@ -307,15 +309,15 @@
         ASSERT_TRUE(spend(*process, std::to_string(i), 100, 80));
         run(Milliseconds(800), Milliseconds(20));
     }
-    // 600 requests in ten minutes: a refill each 45 s or so, and a checkpoint in between.
+    // 600 requests in ten minutes need a refill about every 45 s and a checkpoint in between.
     EXPECT_LE(process->link.writes(), 30);
     expectLedgerHolds();
 }
 
-// A budget has come into use ten seconds before the store goes away for a minute. Its first portion was sized for the
-// first few requests; the next was asked for in calm and would have come with a write far off, so the portion ran dry
-// within seconds and callers were refused although nearly everything paid was free.
-TEST_F(BudgetHolderTest, reserve_storeAwaySoonAfterFirstUse_lastsThroughTheOutage)
+// A budget has come into use ten seconds before the store becomes unavailable for a minute. Its first portion was sized
+// for the first few requests. The next one was requested with low urgency, for a write many seconds later. So the
+// portion ran out within seconds, and callers were refused although nearly all paid tokens were free.
+TEST_F(BudgetHolderTest, reserve_storeUnavailableSoonAfterFirstUse_lastsThroughTheOutage)
 {
     ledgerSettings.relaxedDelay = LedgerSettings().relaxedDelay;
     holderSettings.relaxedCheckpointInterval = BudgetHolderSettings().relaxedCheckpointInterval;
@@ -332,7 +334,7 @@
     useFor(Seconds(60));
 }
 
-TEST_F(BudgetHolderTest, replacePortions_agentLost_settlesWhatIsHeldAndTakesAFreshPortion)
+TEST_F(BudgetHolderTest, replacePortions_agentLost_settlesHeldPortionAndTakesANewOne)
 {
     topUp("p", 1'000'000);
     const auto process = start("h1");
@@ -352,8 +354,8 @@
     EXPECT_EQ(record().settled(), 500);
 }
 
-// Nobody can prove what a request used. Its tokens must neither be billed nor given to others, and must not keep the
-// process from stopping; they wait in the ledger for an operator.
+// The tokens that a request used are unknown. They must not be billed or given to others, and must not prevent the
+// process from stopping; they are withheld in the ledger until an operator releases them.
 TEST_F(BudgetHolderTest, withhold_usedTokensUnknown_keepsThemOutOfUseUntilReleased)
 {
     topUp("p", 1000);
@@ -382,7 +384,7 @@
     EXPECT_EQ(record().free(), 940);
 }
 
-TEST_F(BudgetHolderTest, withhold_whileMoreIsAskedFor_countsBoth)
+TEST_F(BudgetHolderTest, withhold_takeIsPending_countsBoth)
 {
     topUp("p", 1000);
     const auto process = start("h1");
@@ -398,7 +400,7 @@
     EXPECT_EQ(record().portions().at(held.portion).granted, held.granted);
 }
 
-TEST_F(BudgetHolderTest, editor_listAndShow_tellWhatTheLedgerHolds)
+TEST_F(BudgetHolderTest, editor_listAndShow_returnLedgerAmounts)
 {
     topUp("p", 1000);
     topUp("p", 500, {OrganisationId("tourbillon"), "scripts"});
@@ -455,8 +457,8 @@
     EXPECT_LE(process->link.writes() - writes, 2 * 12);
 }
 
-// The budget is nearly used up. A large question waits for open calls to free enough; small ones behind it fit into
-// what is there, and are not made to wait, and be refused as late, for what may never come.
+// The budget is nearly used up. A large request waits for open reservations to free enough; small requests behind it
+// fit into the available tokens. They must not wait until they are refused as late.
 TEST_F(BudgetHolderTest, reserve_smallBehindLargeAtTheEndOfTheBudget_isGrantedAtOnce)
 {
     topUp("p", 10'000);
@@ -474,8 +476,8 @@
     EXPECT_TRUE(large->isGranted());
 }
 
-// The ledger has plenty, and is slow. Who asked first is served first, however large: else small requests would take
-// each portion before the large one has its share.
+// The ledger has enough free tokens but is slow. Requests are served in order, however large; otherwise small ones
+// would use up each grant before the large one has enough.
 TEST_F(BudgetHolderTest, reserve_smallBehindLargeWhileTheLedgerIsAsked_waitsItsTurn)
 {
     topUp("p", 1'000'000);
--- a/tests/core/budgets/budgethomes_test.cpp
+++ b/tests/core/budgets/budgethomes_test.cpp
@@ -5,8 +5,8 @@
 namespace RadishSwitch
 {
 
-/// Four budgets with a home each, and gateways that are cut off from the store together and killed in herds. The homes
-/// are gateways, or processes beside endpoints, which share none of that.
+/// Four budgets with one home each. Gateways lose the connection to the store together and are killed together. The
+/// homes run either in the gateways, or in processes beside the endpoints, which are not affected.
 class BudgetHomesTest : public BudgetFixture
 {
 protected:
@@ -32,7 +32,7 @@
         ledgerSettings.relaxedDelay = Milliseconds(800);
     }
 
-    /// Calls refused in 50 s in which just what was paid for is asked for.
+    /// The number of refused calls in 50 s during which exactly the paid tokens are requested.
     int countRefused(Place place)
     {
         const std::string name = place == Place::Gateways ? "g" : "h";
@@ -43,11 +43,11 @@
         const bool areHit = place == Place::Gateways;
         int refused = 0;
         for (int tick = 0; tick < 1'000; ++tick) {
-            // 8 to 17 s, and 26 to 34 s: all gateways are cut off from the store.
+            // From 8 to 17 s and from 26 to 34 s no gateway can reach the store.
             if (areHit) {
                 cut((tick >= 160 && tick < 340) || (tick >= 520 && tick < 680));
             }
-            // 20 and 38 s: three in four gateways are killed.
+            // At 20 and 38 s three of four gateways are killed.
             if (areHit && (tick == 400 || tick == 760)) {
                 killThree(name + std::to_string(tick));
             }
@@ -91,9 +91,10 @@
     int m_calls = 0;
 };
 
-// Callers of all organisations are refused while the gateways are cut off, and for the rest of the day once what the
-// killed gateways held is lost to the budgets. With homes beside endpoints the same load meets neither.
-TEST_F(BudgetHomesTest, gatewaysCutOffAndKilled_budgetsHeldBesideEndpointsServeOn)
+// With homes in the gateways, callers of all organisations are refused during outages of the store. Later they are
+// refused because the portions of killed gateways are lost to the budgets. With homes beside the endpoints the same
+// load is served without refusals.
+TEST_F(BudgetHomesTest, gatewaysDisconnectedAndKilled_budgetsHeldBesideEndpoints_serveAllCalls)
 {
     const int beside = countRefused(Place::BesideEndpoints);
     const int atGateways = countRefused(Place::Gateways);
--- a/tests/core/budgets/budgetoutage_test.cpp
+++ b/tests/core/budgets/budgetoutage_test.cpp
@@ -11,7 +11,7 @@
 constexpr std::int64_t kPaid = 1'000'000'000;
 constexpr int kSeeds = 40;
 
-/// What one outage costs.
+/// The calls during one outage.
 struct Outage {
     int asked = 0;
     int refused = 0;
@@ -19,7 +19,7 @@
 
 }
 
-/// One budget of one holder, with calls that come by chance and differ in size, while the store goes away for nine
+/// One budget of one holder, with calls of random sizes at random times, while the store is unavailable for nine
 /// seconds.
 class BudgetOutageTest : public BudgetFixture
 {
@@ -37,8 +37,8 @@
         topUp("p", kPaid);
     }
 
-    /// `callsPerSecond` calls with sizes as those of prompts: the squares of their sizes are three times the square of
-    /// the mean on the average.
+    /// Simulates `callsPerSecond` random calls with the size distribution of prompts: the mean of the squared sizes is
+    /// three times the square of the mean.
     Outage simulateOutage(int seed, double callsPerSecond)
     {
         constexpr double kMeanTokens = 3'000;
@@ -72,7 +72,7 @@
         return process.holder->settle(RequestId(request), tokens).ok();
     }
 
-    /// Calls refused in the outage, of a hundred.
+    /// The percentage of calls during the outage that were refused.
     double refusedPercent(double callsPerSecond)
     {
         Outage all;
@@ -88,11 +88,11 @@
     int processes = 0;
 };
 
-// The store goes away for nine seconds, and a budget with two calls a second has to live on what is held. A portion
-// sized by the average alone runs out early in one outage of four, since its average comes from a handful of calls and
-// its nine seconds bring a handful more by chance; the callers after that are refused: 7.5 of 100, and 1.5 when chance
-// is allowed for.
-TEST_F(BudgetOutageTest, twoCallsASecond_portionAllowsForChance_fewerThanHalfAsManyAreRefused)
+// The store is unavailable for nine seconds, and a budget with two calls per second has to be served from its portion.
+// A portion sized by the average use alone runs out early in one of four outages, because both the average and the use
+// in nine seconds come from few random calls. Of 100 callers 7.5 are then refused, and 1.5 if the size includes an
+// allowance for the variance.
+TEST_F(BudgetOutageTest, twoCallsPerSecond_allowanceForVariance_halvesRefusals)
 {
     const double byAverage = refusedPercent(2);
     holderSettings.use.longAveragingTime = Seconds(12);
@@ -105,8 +105,9 @@
     expectLedgerHolds();
 }
 
-// With twenty calls a second chance evens out, and what is allowed for it is small next to the average.
-TEST_F(BudgetOutageTest, twentyCallsASecond_portionAllowsForChance_holdsLittleMore)
+// With twenty calls per second the random variation evens out, and the allowance for it is small compared to the
+// average.
+TEST_F(BudgetOutageTest, twentyCallsPerSecond_allowanceForVariance_holdsLittleMore)
 {
     TokenUseSettings settings;
     settings.averagingTime = Seconds(4);
--- a/tests/core/budgets/cachedshard_test.cpp
+++ b/tests/core/budgets/cachedshard_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace RadishSwitch;
 
-/// A writer that keeps its shard between rounds, beside another that writes the same shard.
+/// A writer that caches its shard between rounds, beside another writer of the same shard.
 class CachedShardTest : public BudgetFixture
 {
 protected:
@@ -46,7 +46,7 @@
     absl::Status lastStatus;
 };
 
-TEST_F(CachedShardTest, secondRound_aloneOnTheShard_costsOneCall)
+TEST_F(CachedShardTest, secondRound_onlyWriterOfShard_costsOneCall)
 {
     create(writer);
     const int before = link.calls();
@@ -55,9 +55,9 @@
     EXPECT_EQ(paid(), 100);
 }
 
-// Another process books a payment meanwhile. The kept shard is older than that; written as it is, it would take the
-// payment away.
-TEST_F(CachedShardTest, writeOfAnother_isNeitherLostNorOverlooked)
+// Another process books a payment while this writer has an older version of the shard cached. If the cached shard were
+// written unconditionally, that payment would be lost.
+TEST_F(CachedShardTest, writeByAnotherProcess_cachedShardOutdated_isKept)
 {
     create(writer);
     submit(other, topUpOf("p1", 100));
@@ -66,9 +66,9 @@
     EXPECT_EQ(paid(), 150);
 }
 
-// By the kept shard the budget does not exist; another has created it since. A failure that only the kept shard knows
-// of must not reach anybody.
-TEST_F(CachedShardTest, failureByTheKeptShard_isProvedByTheStore)
+// The budget is missing in the cached shard, but another process has created it since. A failure that follows only from
+// the cached shard must not be reported.
+TEST_F(CachedShardTest, failure_onlyInCachedShard_isVerifiedByReading)
 {
     submit(writer, std::make_shared<CreateBudgetChange>(BudgetId{OrganisationId("o"), "b"}, "operator", 0));
     create(other);
@@ -77,7 +77,7 @@
     EXPECT_EQ(paid(), 100);
 }
 
-TEST_F(CachedShardTest, lostAnswer_isReadBackBeforeAnythingIsWritten)
+TEST_F(CachedShardTest, lostAnswer_nextRound_readsBeforeWriting)
 {
     create(writer);
     link.loseAnswersOfNextWrites(1);
--- a/tests/core/budgets/heldshare_test.cpp
+++ b/tests/core/budgets/heldshare_test.cpp
@@ -2,7 +2,7 @@
 
 using namespace RadishSwitch;
 
-/// How much of a budget a process holds while the budget runs down.
+/// The share of a budget that a process holds while the budget is used up.
 class HeldShareTest : public BudgetFixture
 {
 protected:
@@ -18,7 +18,7 @@
         ledgerSettings.relaxedDelay = Milliseconds(800);
     }
 
-    /// Uses 10,000 tokens a second; how much of it was granted.
+    /// Uses 5,000 tokens per second for `seconds`; returns the number of granted requests of 1,000 tokens.
     int use(Process &process, int seconds)
     {
         int granted = 0;
@@ -43,18 +43,18 @@
     int m_last = 0;
 };
 
-TEST_F(HeldShareTest, muchLeft_portionLastsTheSurvivalTime)
+TEST_F(HeldShareTest, budget_muchLeft_portionLastsTheSurvivalTime)
 {
     topUp("p", 1'000'000);
     const auto process = start("h");
     use(*process, 10);
-    // 5,000 tokens a second for 9 s, and a little above the low water.
+    // 5,000 tokens per second for 9 s; the portion is slightly above its low-water mark.
     EXPECT_GE(held(*process), 40'000);
 }
 
-// The process that holds the portion is killed near the end of the budget, with all others. What it held is lost; most
-// of what was left can still be reserved by those that start then.
-TEST_F(HeldShareTest, littleLeft_mostOfItOutlivesTheHolder)
+// The process that holds the portion is killed near the end of the budget. Its portion is lost, but a process that
+// starts then can still reserve most of the tokens that were left.
+TEST_F(HeldShareTest, holderKilled_littleLeft_mostOfItCanBeReserved)
 {
     topUp("p", 200'000);
     const auto process = start("h");
@@ -68,10 +68,10 @@
     EXPECT_TRUE(answer->isGranted());
 }
 
-// All processes are killed at once while a quarter of a budget is left, and the load goes on at those that start after
-// them. What was held is lost; were it much, each later call would be refused while the budget still
-// shows what was paid for. An outage of the store of 4.5 s, with three quarters left, is outlived all the same.
-TEST_F(HeldShareTest, allKilledWithAQuarterLeft_nearlyAllThatWasPaidIsServed)
+// All processes are killed at once while a quarter of a budget is left, and the load continues at new processes. The
+// tokens that were held are lost. If that were a large share, later calls would be refused although the budget is not
+// used up. An outage of the store of 4.5 s with three quarters of the budget left must still be survived.
+TEST_F(HeldShareTest, allHoldersKilled_quarterLeft_nearlyAllPaidTokensAreServed)
 {
     const auto servedShare = [this](double heldPerLeft, double leastHeldShare, int number) {
         holderSettings.heldPerLeft = heldPerLeft;
--- a/tests/core/budgets/ledgersearch_test.cpp
+++ b/tests/core/budgets/ledgersearch_test.cpp
@@ -26,7 +26,7 @@
 struct SearchResult {
     std::size_t states = 0;
     std::size_t transitions = 0;
-    /// The first path to a broken promise or a stuck end, and what is wrong there.
+    /// The first path to a violated invariant or to a state that cannot finish, with a description.
     std::string failure;
 };
 
@@ -79,8 +79,8 @@
     return failure.empty() ? "" : failure + " after" + described(path);
 }
 
-/// Breadth first from the end of `start`, so that the first path found to a fault is one of the shortest. The
-/// aggregates cannot be copied, so each state is reached again from the beginning by its choices.
+/// Breadth-first search from the end of `start`, so that the first path found to a failure is one of the shortest. The
+/// simulated processes cannot be copied, so each state is reached again by replaying its path.
 SearchResult search(const Path &start, int depth)
 {
     struct Reached {
@@ -116,7 +116,7 @@
     return result;
 }
 
-/// One path of random choices, far deeper than the search can go.
+/// One path of random actions, far longer than the search can reach.
 std::string walk(std::uint64_t seed)
 {
     SeededRandom random(seed);
@@ -136,7 +136,7 @@
     return failureAt(world, path);
 }
 
-/// Both holders have a portion, one request runs and another is granted.
+/// Both holders have a portion; one request runs and another is granted.
 const Path kBothHold{{Action::Offer, 0}, {Action::Tick, 0}, {Action::Write, 0}, {Action::Dispatch, 0},
                      {Action::Offer, 1}, {Action::Tick, 1}, {Action::Write, 1}};
 
@@ -146,25 +146,25 @@
     return path;
 }
 
-/// The same, and the first holder, which lives, is being closed.
+/// As kBothHold, and a closer has begun to close the first holder, which is alive.
 const Path kFirstIsClosing = kBothHold + Path{{Action::Close, 0}, {Action::Tick, 2}, {Action::Write, 2}};
 
-/// A request is granted but not sent yet, and its portion is closed and settled meanwhile.
+/// A request is granted but not sent yet; in the meantime its portion is closed and settled.
 const Path kClosedBeforeDispatch{{Action::Offer, 0}, {Action::Tick, 0},  {Action::Write, 0}, {Action::Close, 0},
                                  {Action::Tick, 2},  {Action::Write, 2}, {Action::Tick, 2},  {Action::Agent, 0},
                                  {Action::Tick, 2},  {Action::Write, 2}};
 
-/// The first holder's portion is used up, and a request waits there while the ledger is asked.
+/// The first holder's portion is used up, and a request waits there for the ledger.
 const Path kFirstIsShort = kBothHold + Path{{Action::Offer, 2}, {Action::Tick, 0}};
 
 }
 
-// Two holders, an operator, a closer and an agent share one budget of 100 tokens. Three requests, two payments each
-// told twice, two faults: answers lost, writes refused or held up, a holder killed, a living holder closed, the agent
-// silent, another agent starting late. In every order of these up to a depth, from each of five situations, no more is
-// spent than was paid, and from every state reached a fair run ends with each request answered and exactly what was
-// charged settled.
-TEST(LedgerSearchTest, everyOrderOfASmallCase_upToADepth_keepsAllPromises)
+// Two holders, an operator, a closer and an agent share one budget of 100 tokens, with three requests and two payments
+// that are each submitted twice. Two faults may happen: a lost answer, a rejected or delayed write, a killed holder, a
+// living holder that is closed, or an unreachable agent. Another agent may start late. The search tries every order of
+// these events up to a depth, from each of five initial paths. Spending must never exceed the paid amount. From every
+// reached state a run without further faults must answer each request and settle exactly the charges.
+TEST(LedgerSearchTest, everyOrderOfEvents_upToADepth_keepsAllInvariants)
 {
     const int depth = numberFrom(kDepthVariable, kDepthInTests);
     for (const Path &start : {Path(), kBothHold, kFirstIsClosing, kFirstIsShort, kClosedBeforeDispatch}) {
@@ -175,8 +175,8 @@
     }
 }
 
-// The same fleet on long random paths, the same ones on each run.
-TEST(LedgerSearchTest, longRandomPaths_ofTheSameCase_keepAllPromises)
+// The same fleet on long random paths, which are the same in each run of the test.
+TEST(LedgerSearchTest, longRandomPaths_sameFleet_keepAllInvariants)
 {
     const int walks = numberFrom(kWalksVariable, kWalksInTests);
     for (int i = 1; i <= walks; ++i) {
--- a/tests/core/budgets/ledgershard_test.cpp
+++ b/tests/core/budgets/ledgershard_test.cpp
@@ -100,7 +100,7 @@
     EXPECT_EQ(failureCode(shard.create({OrganisationId("a"), "\xc3"}).status()), FailureCode::InvalidRequest);
 }
 
-TEST_F(LedgerShardTest, takePortion_moreWishedThanFree_grantsOnlyTheShare)
+TEST_F(LedgerShardTest, takePortion_moreRequestedThanFree_grantsOnlyTheShare)
 {
     ASSERT_TRUE(topUp("p1", 100).ok());
 
@@ -133,7 +133,7 @@
     EXPECT_FALSE(record().wanted());
 }
 
-TEST_F(LedgerShardTest, change_recordWouldBreakRule_staysAsItWas)
+TEST_F(LedgerShardTest, change_wouldBreakInvariant_leavesRecordUnchanged)
 {
     ASSERT_TRUE(topUp("p1", 100).ok());
     EXPECT_EQ(take(request("a", 1, 60, 60)), 60);
--- a/tests/core/budgets/portioncloser_test.cpp
+++ b/tests/core/budgets/portioncloser_test.cpp
@@ -16,7 +16,7 @@
         holder = start("dead");
     }
 
-    /// A process that closes what "dead" held.
+    /// A process that closes the portions of the holder "dead".
     struct Closer {
         explicit Closer(PortionCloserTest &test)
             : link(test.store, test.tasks, test.timers)
@@ -41,7 +41,7 @@
         return closer;
     }
 
-    /// Reserves and sends a run to an agent; gives the portion.
+    /// Reserves tokens and starts a run at an agent; returns the portion.
     PortionId dispatch(const std::string &request, const std::string &agent, std::int64_t tokens)
     {
         const auto answer = reserve(*holder, request, tokens);
@@ -62,8 +62,8 @@
     std::unique_ptr<Process> holder;
 };
 
-// An entry is killed with one answer billed at its agent and not yet told to the ledger. The closer asks all agents,
-// and settles exactly that; the rest of the portion is free again for others.
+// A process is killed after an answer was charged at its agent and before the charge was reported to the ledger. The
+// closer asks all agents and settles exactly that charge; the rest of the portion becomes free.
 TEST_F(PortionCloserTest, closeHolder_chargesOnlyAtAgents_settlesExactlyThem)
 {
     const PortionId portion = dispatch("r", "a1", 100);
@@ -78,9 +78,9 @@
     EXPECT_EQ(closer->closer.openJobs(), 0u);
 }
 
-// The entry dies in mid-stream. The agent goes on with the run, so its charge is not known yet. The closer waits for
-// the end: freeing the tokens earlier would let another holder spend what this run is about to use.
-TEST_F(PortionCloserTest, closeHolder_runGoesOn_waitsForItsCharge)
+// The process dies while an answer is streamed. The agent continues the run, so the charge is not known yet, and the
+// closer waits for it. If the tokens became free earlier, another holder could spend what this run is about to use.
+TEST_F(PortionCloserTest, closeHolder_runInProgress_waitsForItsCharge)
 {
     const PortionId portion = dispatch("r", "a1", 100);
     holder.reset();
@@ -109,9 +109,9 @@
     EXPECT_EQ(record().settled(), 80);
 }
 
-// Entry and agent die together. What the agent may have run nobody can tell, so the portion is withheld as if spent,
-// with the reason and the agent's name. When the agent turns out to live, its word settles the portion after all.
-TEST_F(PortionCloserTest, closeHolder_agentSilent_withholdsUntilItAnswers)
+// The process and an agent die together. The charges at the agent are unknown, so the portion is withheld as if it were
+// spent, with a reason and the agent's name. When the agent turns out to be alive, its answer settles the portion.
+TEST_F(PortionCloserTest, closeHolder_agentUnreachable_withholdsUntilItAnswers)
 {
     const PortionId portion = dispatch("r", "a1", 100);
     complete("r", "a1", portion, 60);
@@ -149,8 +149,8 @@
     EXPECT_EQ(record().portions().at(portion).spent, 50);
 }
 
-// An agent was replaced after the portion was taken, and the one before took its charges with it. What it had charged
-// is known to nobody, so the portion is withheld although every agent of today has answered.
+// An agent was replaced after the portion was taken, and the records of the earlier agent are lost. Its charges are
+// unknown, so the portion is withheld although every present agent has answered.
 TEST_F(PortionCloserTest, closeHolder_agentStartedAfterwards_withholds)
 {
     const PortionId portion = dispatch("r", "a1", 100);
@@ -194,7 +194,7 @@
     EXPECT_GT(record().withheld(), 0);
 }
 
-TEST_F(PortionCloserTest, releaseWithheld_byOperator_freesItOnTheRecord)
+TEST_F(PortionCloserTest, releaseWithheld_byOperator_freesItWithAuditEntry)
 {
     const PortionId portion = dispatch("r", "a1", 100);
     agents.setSilent("a1", true);
@@ -232,8 +232,8 @@
     EXPECT_EQ(audit->value().back().tokens, withheld);
 }
 
-// Two processes both take the holder for dead, and answers of their writes are lost. Both prove the same sum; the
-// second to finish finds the portion gone. Settled twice, the budget would lose the tokens once more.
+// Two processes both consider the holder dead, and answers to their writes are lost. Both prove the same sum; the
+// second one to finish finds the portion gone. If it were settled twice, the budget would lose the tokens twice.
 TEST_F(PortionCloserTest, closeHolder_twoClosersAtOnceWithLostAnswers_settleOnce)
 {
     const PortionId portion = dispatch("r", "a1", 100);
@@ -250,9 +250,9 @@
     EXPECT_EQ(first->closer.openJobs() + second->closer.openJobs(), 0u);
 }
 
-// The holder was only paused for minutes, and hears nothing of its portion being closed and settled. It goes on unaware
-// and reserves on it. The agents refuse those runs, so the caller hears "not run", and it is true. What is left of the
-// portion serves others meanwhile, and nothing is overspent.
+// The holder was only paused, and its portion was closed and settled in the meantime. It does not know and reserves
+// from that portion. The agents refuse those runs, so the caller is correctly told "not run". Other holders use the
+// rest of the portion meanwhile, and nothing is overspent.
 TEST_F(PortionCloserTest, closeHolder_holderOnlyPaused_itsLaterRunsAreRefused)
 {
     const PortionId portion = dispatch("r", "a1", 100);
--- a/tests/core/budgets/ridealong_test.cpp
+++ b/tests/core/budgets/ridealong_test.cpp
@@ -3,7 +3,7 @@
 namespace RadishSwitch
 {
 
-/// A holder of ten budgets of two shards, each drawn on at moments of its own.
+/// A holder of ten budgets in two shards, which are used at different times.
 class RideAlongTest : public BudgetFixture
 {
 protected:
@@ -32,7 +32,7 @@
         int granted = 0;
     };
 
-    /// Half a minute of six to seven calls a second of each budget.
+    /// Half a minute with six to seven calls per second for each budget.
     Outcome simulateHalfAMinute(double rideAlongShare)
     {
         holderSettings.rideAlongShare = rideAlongShare;
@@ -67,11 +67,11 @@
     int m_calls = 0;
 };
 
-TEST_F(RideAlongTest, budgetsOfAShardInUseAtOnce_areRenewedByOneWriteTogether)
+TEST_F(RideAlongTest, budgetsOfOneShard_usedAtOnce_areRefilledByOneWrite)
 {
-    // Ten organisations call all day long. Each of their portions runs low at a moment of its own, and each time the
-    // whole shard is written for the one of them. Renewed together they cost less than half of the calls to the store,
-    // and no caller is refused for it.
+    // Ten organisations make calls all the time. Each of their portions runs low at its own time, and each time the
+    // whole shard is written for that budget. When all budgets of a shard are refilled by the same write, the store
+    // gets less than half of the writes, and no more callers are refused.
     const Outcome alone = simulateHalfAMinute(0);
     const Outcome together = simulateHalfAMinute(0.97);
 
--- a/tests/core/budgets/searchworld.cpp
+++ b/tests/core/budgets/searchworld.cpp
@@ -208,7 +208,7 @@
         break;
     case SearchAction::Kill:
         m_isDead[i] = true;
-        // A holder closed while it lived is closed again when it does die.
+        // A holder that was closed while it was alive is closed again when it dies.
         m_isClosing[i] = false;
         m_actors[i]->holder.reset();
         m_actors[i]->ledger.reset();
@@ -227,7 +227,7 @@
     for (const auto &it : m_actors) {
         settleDown(*it);
     }
-    // What a process did is a function of what it was told, in its order.
+    // The state of a process is a function of its inputs and their order.
     const std::array<std::uint64_t, 4> told{static_cast<std::uint64_t>(action.kind), static_cast<std::uint64_t>(i),
                                             m_actors[actor]->store.reads, actor == kCloser ? m_agents.toldDigest() : 0};
     m_actors[actor]->history = XXH64(told.data(), sizeof told, m_actors[actor]->history);
--- a/tests/core/budgets/searchworld.h
+++ b/tests/core/budgets/searchworld.h
@@ -20,7 +20,7 @@
 namespace RadishSwitch
 {
 
-/// The store of a searched world. A write waits until the search chooses its outcome; a read is answered as soon as
+/// The store of a simulated fleet. A write waits until the search chooses its outcome; a read is answered as soon as
 /// the process asks.
 class SearchStore : public ObjectStore
 {
@@ -41,7 +41,7 @@
         return m_write.has_value();
     }
 
-    /// Carries the waiting write out; the process hears of it unless `isAnswerLost`.
+    /// Executes the waiting write. With `isAnswerLost` the process gets a timeout instead of the result.
     void execute(bool isAnswerLost)
     {
         const Write write = *std::exchange(m_write, std::nullopt);
@@ -56,13 +56,13 @@
         write.callback(object.version);
     }
 
-    /// The waiting write has no effect, and the process hears that the store is away.
+    /// Drops the waiting write; the process gets an error that the store is unavailable.
     void refuse()
     {
         std::exchange(m_write, std::nullopt)->callback(makeFailure(FailureCode::StoreUnavailable, "refused"));
     }
 
-    /// The waiting write is held up on the way; the process hears of a timeout, and the write may land later or never.
+    /// Delays the waiting write; the process gets a timeout, and the write may take effect later or never.
     void delayWrite()
     {
         m_late = std::exchange(m_write, std::nullopt);
@@ -109,7 +109,7 @@
     {
     }
 
-    /// Digest of everything that was read.
+    /// Digest of all values that were read.
     std::uint64_t reads = 0;
 
 private:
@@ -126,12 +126,12 @@
     std::optional<Write> m_late;
 };
 
-/// One thing that may happen next.
+/// One event that the search may choose next.
 struct SearchAction {
     enum Kind {
         Offer,
         Dispatch,
-        /// Dispatch to the agent that started late.
+        /// Sends the request to the agent that started late.
         DispatchToLate,
         Finish,
         Settle,
@@ -141,10 +141,10 @@
         Write,
         LandLateWrite,
         Agent,
-        /// Another agent starts; a holder hears of it.
+        /// Another agent starts; in the second event a holder discovers it.
         StartLateAgent,
         HearOfLateAgent,
-        // Faults, of which a path has a bounded number.
+        // Faults; the number of faults on a path is limited.
         LoseAnswer,
         RefuseWrite,
         HoldWriteUp,
@@ -163,9 +163,9 @@
     bool operator==(const SearchAction &) const = default;
 };
 
-/// A small fleet over the real aggregates: two holders, a closer, an operator, an agent and one that starts late, three
-/// requests and two top-ups. Each process has a clock of its own that moves only when the search lets it, so a pause of
-/// any length is one of the orders searched.
+/// A small simulated fleet of the real classes: two holders, a closer, an operator, an agent and one that starts late,
+/// three requests and two top-ups. Each process has its own clock, which advances only when the search chooses it, so
+/// pauses of any length are among the orders searched.
 class SearchWorld
 {
 public:
@@ -184,14 +184,14 @@
     std::vector<SearchAction> enabled() const;
     void apply(const SearchAction &action);
 
-    /// Two worlds with the same digest have had the same inputs in the same order at each process, and so are alike.
+    /// Two fleets with the same digest have had the same inputs in the same order at each process, and are equivalent.
     std::uint64_t digest() const;
 
-    /// What must hold in every state; empty when it does.
+    /// Checks the invariants of every state; empty when they hold, otherwise a description.
     std::string violatedInvariant() const;
 
-    /// Lets everything run to its end without further faults; empty when each request was answered, all portions are
-    /// settled, and exactly what the agent charged is settled.
+    /// Runs all remaining events without further faults. Empty when each request was answered, all portions are
+    /// settled, and exactly the charges of the agents are settled; otherwise a description.
     std::string failureAfterFairRun();
 
 private:
--- a/tests/core/budgets/shardwriter_test.cpp
+++ b/tests/core/budgets/shardwriter_test.cpp
@@ -56,7 +56,7 @@
     EXPECT_TRUE(writer.isIdle());
 }
 
-TEST_F(ShardWriterTest, submit_oneChangeFails_othersGoIn)
+TEST_F(ShardWriterTest, submit_oneChangeFails_othersAreWritten)
 {
     const auto first = submit(writer, create(1));
     const auto wrong = submit(writer, topUp(7, "p", 5));
@@ -69,9 +69,8 @@
     EXPECT_EQ(stored().find(budget(1))->paid(), 5);
 }
 
-// An operator's top-up reaches the store, and the answer is lost on the way back. The writer gets a timeout, reads the
-// object back and finds the payment booked. Booking it again would let the budget spend twice what was paid; the
-// payment's id inside the object is what tells.
+// An operator's top-up reaches the store, but the answer is lost. The writer gets a timeout, reads the object again and
+// finds the payment booked by its id. If the payment were booked again, the budget could spend twice what was paid.
 TEST_F(ShardWriterTest, submit_answerOfWriteLost_readsBackAndCountsOnce)
 {
     submit(writer, create(1));
@@ -85,8 +84,8 @@
     EXPECT_EQ(store.writes(), 2);
 }
 
-// The write itself is lost on the way. The writer sees the same timeout as for a lost answer, and must not take it for
-// done: the payment would be missing although the operator was told that it is booked.
+// The write itself is lost. The writer gets the same timeout as for a lost answer and must not consider the write done:
+// the payment would be missing although the operator was told that it is booked.
 TEST_F(ShardWriterTest, submit_writeLostOnTheWay_readsBackAndWritesAgain)
 {
     submit(writer, create(1));
@@ -99,9 +98,9 @@
     EXPECT_EQ(stored().find(budget(1))->paid(), 5);
 }
 
-// Two processes write to one shard at the same moment. Both have read version 1; the second write meets a conflict,
-// reads again and goes in on top of the first. Without the version one of the two payments would be lost.
-TEST_F(ShardWriterTest, submit_twoWritersAtOnce_bothGoIn)
+// Two processes write one shard at the same time. Both have read version 1; the second write gets a version conflict,
+// reads again and adds its payment to the first. Without the version check one of the payments would be lost.
+TEST_F(ShardWriterTest, submit_twoWritersAtOnce_bothAreWritten)
 {
     submit(writer, create(1));
     run(Seconds(1));
@@ -115,9 +114,9 @@
     EXPECT_EQ(stored().find(budget(1))->paid(), 11);
 }
 
-// The store is away for an hour and comes back. The writer must neither give the change up, nor call more often than
-// its backoff allows while nothing answers, and it says that the store is away so that requests are refused at once.
-TEST_F(ShardWriterTest, submit_storeAwayForAnHour_callsSeldomAndGoesInAfterwards)
+// The store is unavailable for an hour. The writer must not abandon the change, must call no more often than its
+// backoff allows, and must report that the store is unavailable, so that requests are refused at once.
+TEST_F(ShardWriterTest, submit_storeUnavailableForAnHour_callsRarelyAndWritesAfterwards)
 {
     link.setCut(true);
     const auto status = submit(writer, create(1));
@@ -159,7 +158,7 @@
     EXPECT_EQ(store.objects().at("ledger/0000").value, "{\"budgets\": ");
 }
 
-TEST_F(ShardWriterTest, storeCallBudget_moreAskedThanAllowed_spreadsCalls)
+TEST_F(ShardWriterTest, storeCallBudget_moreRequestedThanAllowed_spreadsCalls)
 {
     StoreCallBudget budget(timers, 10, 5);
     int n = 0;
--- a/tests/core/budgets/standin_test.cpp
+++ b/tests/core/budgets/standin_test.cpp
@@ -2,7 +2,7 @@
 
 using namespace RadishSwitch;
 
-/// A process that stands in for the usual holder of a budget.
+/// A process that substitutes for the usual holder of a budget.
 class StandInTest : public BudgetFixture
 {
 protected:
@@ -18,7 +18,7 @@
         holderSettings.idleTime = Seconds(4);
     }
 
-    /// Uses 1,000 tokens a second for some seconds.
+    /// Uses 1,000 tokens per second for `seconds`.
     void use(Process &process, const std::string &prefix, int seconds, bool isStandIn)
     {
         for (int n = 0; n < seconds * 10; ++n) {
@@ -36,7 +36,7 @@
     }
 };
 
-TEST_F(StandInTest, holderThatStandsIn_keepsLessThanTheUsualOne)
+TEST_F(StandInTest, standIn_inUse_holdsLessThanUsualHolder)
 {
     topUp("p", 1'000'000);
     const auto usual = start("usual");
@@ -47,8 +47,8 @@
     EXPECT_LE(heldBeyondUse(*standIn), 5'000);
 }
 
-// The usual holder is back, and the stand-in is asked no more. What it held is free again a few seconds later.
-TEST_F(StandInTest, standInNobodyAsks_givesItsPortionBack)
+// The usual holder is back, and the stand-in gets no more requests. Its portion is free again within seconds.
+TEST_F(StandInTest, standIn_noLongerUsed_returnsItsPortion)
 {
     topUp("p", 1'000'000);
     const auto standIn = start("stand-in");
@@ -58,11 +58,12 @@
     EXPECT_EQ(record().settled(), 3'000);
 }
 
-// Sizes differ a hundredfold. One large request must not make a process hold room for several of its size.
-TEST_F(StandInTest, oneLargeRequest_doesNotSetTheSizeOfThePortion)
+// Request sizes differ by a factor of a hundred. One large request must not make a process hold room for several
+// requests of that size.
+TEST_F(StandInTest, largeRequest_amongSmallOnes_doesNotSetPortionSize)
 {
     holderSettings.requestsAhead = 6;
-    // Long, so that the use of the one request is spread thin and its size alone could tell.
+    // A long averaging time keeps the use by the one request low, so that only its size could enlarge the portion.
     holderSettings.use.averagingTime = Seconds(60);
     topUp("p", 1'000'000);
     const auto usual = start("usual");
@@ -72,6 +73,6 @@
     run(Seconds(1));
     EXPECT_TRUE(usual->holder->settle(large, 70'000).ok());
     use(*usual, "v", 1, false);
-    // Room for six of the last size would be 420,000 beside the 73,000 that were used.
+    // Room for six requests of the last size would be 420,000 tokens beside the 73,000 that were used.
     EXPECT_LT(record().granted(), 73'000 + 350'000);
 }
--- a/tests/core/budgets/tokenuse_test.cpp
+++ b/tests/core/budgets/tokenuse_test.cpp
@@ -16,7 +16,7 @@
     TokenUse use{at(0)};
 };
 
-TEST_F(TokenUseTest, steadyUse_isToldFromTheFirstSecondsOn)
+TEST_F(TokenUseTest, tokensPerSecond_steadyUse_isAccurateAfterTwoSeconds)
 {
     for (int n = 0; n <= 2'000; n += 100) {
         use.note(100, at(n), settings);
@@ -24,7 +24,7 @@
     EXPECT_NEAR(use.tokensPerSecond(at(2'000), settings), 1'000, 150);
 }
 
-TEST_F(TokenUseTest, useThatEnded_fadesWithTheAveragingTime)
+TEST_F(TokenUseTest, tokensPerSecond_useEnded_decaysWithAveragingTime)
 {
     for (int n = 0; n <= 20'000; n += 100) {
         use.note(100, at(n), settings);
@@ -33,8 +33,8 @@
     EXPECT_LT(use.tokensPerSecond(at(50'000), settings), 1);
 }
 
-// One large request in a fresh budget is no use of that many tokens a second.
-TEST_F(TokenUseTest, oneRequest_countsOverTheShortestAverage)
+// One large request on a new budget must not count as that many tokens per second.
+TEST_F(TokenUseTest, tokensPerSecond_oneRequest_isAveragedOverShortestAverage)
 {
     use.note(3'000, at(0), settings);
     EXPECT_LE(use.tokensPerSecond(at(0), settings), 2'500);
