--- a/src/libradishswitch/budgets/beginclosechange.cpp
+++ b/src/libradishswitch/budgets/beginclosechange.cpp
@@ -12,15 +12,15 @@
 
 absl::Status BeginCloseChange::apply(LedgerShard &shard)
 {
-    m_portions.clear();
+    m_closingPortions.clear();
     for (const auto &[budget, record] : shard.budgets()) {
         for (const auto &[id, portion] : record.portions()) {
             if (portion.holder == m_holder) {
-                m_portions.push_back({budget, id, portion});
+                m_closingPortions.push_back({budget, id, portion});
             }
         }
     }
-    for (const ClosingPortion &it : m_portions) {
+    for (const ClosingPortion &it : m_closingPortions) {
         const absl::Status status = shard.change(it.budget, [&](BudgetRecord &record) {
             return record.beginClose(it.portion);
         });
@@ -37,9 +37,9 @@
     return "begin to close the portions of " + m_holder.value();
 }
 
-const std::vector<BeginCloseChange::ClosingPortion> &BeginCloseChange::portions() const
+const std::vector<BeginCloseChange::ClosingPortion> &BeginCloseChange::closingPortions() const
 {
-    return m_portions;
+    return m_closingPortions;
 }
 
 }
--- a/src/libradishswitch/budgets/beginclosechange.h
+++ b/src/libradishswitch/budgets/beginclosechange.h
@@ -28,11 +28,11 @@
     std::string describe() const override;
 
     /// The holder's portions as this change left them.
-    const std::vector<ClosingPortion> &portions() const;
+    const std::vector<ClosingPortion> &closingPortions() const;
 
 private:
     IncarnationId m_holder;
-    std::vector<ClosingPortion> m_portions;
+    std::vector<ClosingPortion> m_closingPortions;
 };
 
 }
--- a/src/libradishswitch/budgets/budgetholderledger.cpp
+++ b/src/libradishswitch/budgets/budgetholderledger.cpp
@@ -97,9 +97,9 @@
 
 bool BudgetHolder::mayRideAlong(const HeldBudget &budget) const
 {
-    const bool isDry = isLastFreeCurrent(budget) && budget.lastFree < budget.smallestUseful();
+    const bool isExhausted = isLastFreeCurrent(budget) && budget.lastFree < budget.smallestUseful();
     const bool isUsed = budget.current().number != 0 && m_timers.now() - budget.lastUsedAt() < m_settings.idleTime;
-    if (budget.isTakePending || budget.isUnknown || isDry || !isUsed) {
+    if (budget.isTakePending || budget.isUnknown || isExhausted || !isUsed) {
         return false;
     }
     const auto target = static_cast<double>(budget.targetSize(m_timers.now(), m_settings));
--- a/src/libradishswitch/budgets/portioncloser.cpp
+++ b/src/libradishswitch/budgets/portioncloser.cpp
@@ -71,7 +71,7 @@
         return scheduleRound(job, m_settings.longestPause);
     }
     job->isBegun = true;
-    for (const BeginCloseChange::ClosingPortion &it : change.portions()) {
+    for (const BeginCloseChange::ClosingPortion &it : change.closingPortions()) {
         Closing &closing = job->portions[it.portion];
         closing.budget = it.budget;
         closing.granted = it.record.granted;
