--- a/src/libradishswitch/budgets/holderreservations.cpp
+++ b/src/libradishswitch/budgets/holderreservations.cpp
@@ -11,8 +11,8 @@
 void HolderReservations::reserve(const RequestId &request, const BudgetId &budget, std::int64_t tokens,
                                  Instant deadline, std::function<void(absl::StatusOr<ReservedPortion>)> callback)
 {
-    const ReservationRequest question{request, budget, tokens, deadline};
-    m_holder.reserve(question, [callback = std::move(callback)](absl::StatusOr<Reservation> reservation) {
+    const ReservationRequest reservationRequest{request, budget, tokens, deadline};
+    m_holder.reserve(reservationRequest, [callback = std::move(callback)](absl::StatusOr<Reservation> reservation) {
         if (!reservation.ok()) {
             return callback(reservation.status());
         }
@@ -20,7 +20,8 @@
     });
 }
 
-// A charge outside what was reserved is charged in full by the holder, which never spends more than it holds.
+// The error is ignored: for a charge outside the reservation the holder charges the whole reservation, so it never
+// spends more than it holds.
 void HolderReservations::settle(const RequestId &request, std::int64_t tokens)
 {
     (void)m_holder.settle(request, tokens);
--- a/src/libradishswitch/budgets/reportspendchange.h
+++ b/src/libradishswitch/budgets/reportspendchange.h
@@ -1,13 +1,13 @@
 #pragma once
 
-#include "budgets/budgetglance.h"
+#include "budgets/budgetsnapshot.h"
 #include "budgets/ledgerchange.h"
 
 namespace RadishSwitch
 {
 
-/// Raises what a portion has spent, and reads how its budget stands. PortionClosed when the portion is closed or
-/// gone.
+/// Raises the spent amount of a portion, and reads the amounts of its budget. Fails with PortionClosed when the portion
+/// is closed or gone.
 class ReportSpendChange : public LedgerChange
 {
 public:
@@ -16,14 +16,14 @@
     absl::Status apply(LedgerShard &shard) override;
     std::string describe() const override;
 
-    /// How the budget stood when the change was applied.
-    const BudgetGlance &glance() const;
+    /// The amounts of the budget when the change was applied.
+    const BudgetSnapshot &snapshot() const;
 
 private:
     BudgetId m_budget;
     PortionId m_portion;
     std::int64_t m_spent;
-    BudgetGlance m_glance;
+    BudgetSnapshot m_snapshot;
 };
 
 }
--- a/src/libradishswitch/budgets/takeportionchange.h
+++ b/src/libradishswitch/budgets/takeportionchange.h
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "budgets/budgetglance.h"
+#include "budgets/budgetsnapshot.h"
 #include "budgets/ledgerchange.h"
 
 namespace RadishSwitch
 {
 
-/// Creates or grows a holder's portion, as far as there is something free. Errors as BudgetRecord::takePortion.
+/// Creates or grows a holder's portion as far as tokens are free. Fails as BudgetRecord::takePortion.
 class TakePortionChange : public LedgerChange
 {
 public:
@@ -17,17 +17,17 @@
 
     const PortionRequest &request() const;
 
-    /// What the portion holds in all after the change; zero when it was not created.
+    /// Tokens granted to the portion in total after the change; zero when the portion was not created.
     std::int64_t granted() const;
 
-    /// How the budget stood after the change.
-    const BudgetGlance &glance() const;
+    /// The amounts of the budget after the change.
+    const BudgetSnapshot &snapshot() const;
 
 private:
     BudgetId m_budget;
     PortionRequest m_request;
     std::int64_t m_granted = 0;
-    BudgetGlance m_glance;
+    BudgetSnapshot m_snapshot;
 };
 
 }
--- a/src/libradishswitch/requests/grantedrequests.cpp
+++ b/src/libradishswitch/requests/grantedrequests.cpp
@@ -102,7 +102,7 @@
         m_claims.setState(known.shard, request, known.grantedAttempt, claimState);
     }
     const bool hasNoAnswer = chargedTokens == 0 && state != RequestState::Done;
-    if (const RunRecord *conflictingRun = m_billing.rivalOf(request); conflictingRun && hasNoAnswer) {
+    if (const RunRecord *conflictingRun = m_billing.competingRunOf(request); conflictingRun && hasNoAnswer) {
         m_registry.forget(request);
         m_registry.addReportedRun(*conflictingRun, known.shard, m_timers.now());
     }
@@ -239,7 +239,7 @@
     if (isOfLaterOwner) {
         return m_shards.ownership().noteStaleEpoch(known.shard, known.epoch);
     }
-    m_billing.noteRival(record);
+    m_billing.noteCompetingRun(record);
     if (record.state != RunState::Running) {
         return;
     }
@@ -260,7 +260,7 @@
     record.chargedTokens = verdict.chargedTokens;
     const KnownRequest *known = m_registry.find(record.request);
     if (known && known->isGrantedHere) {
-        return m_billing.noteRival(record);
+        return m_billing.noteCompetingRun(record);
     }
     if (known && !known->hasEnded()) {
         finishResolving(record.request, verdict);
@@ -275,12 +275,12 @@
 
 std::optional<RunRecord> GrantedRequests::takeConflictingRun(const RequestId &request)
 {
-    const RunRecord *conflictingRun = m_billing.rivalOf(request);
+    const RunRecord *conflictingRun = m_billing.competingRunOf(request);
     if (!conflictingRun) {
         return std::nullopt;
     }
     const RunRecord record = *conflictingRun;
-    m_billing.forgetRival(request);
+    m_billing.forgetCompetingRun(request);
     m_conflictingRunResolvers.erase(request);
     return record;
 }
