--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -21,14 +21,14 @@
 
 void addPlacementSettings(SettingsParser &parser, PlacementSettings &settings)
 {
-    parser.addNumber("read-tokens-per-second", settings.readTokensPerSecond, kLeastReadingSpeed, kMostReadingSpeed,
+    parser.addNumber("read-tokens-per-second", settings.prefillTokensPerSecond, kLeastReadingSpeed, kMostReadingSpeed,
                      "speed at which an engine reads prompts, until its answers have told it");
     parser.addNumber("reread-factor", settings.rereadFactor, 0, kMostRereadFactor,
                      "what a token that another engine has read already costs beyond its time");
     parser.addNumber("delay-step", settings.delayStep, 0, 1, "weight of a new delay in an endpoint's average");
     parser.add("zone-distance", settings.zoneDistance, "added for an endpoint of another availability zone");
     parser.add("full-batch", settings.fullBatch, "added for an endpoint with all slots in use, in proportion");
-    parser.addNumber("least-limit", settings.leastLimit, 1, kMostLimit,
+    parser.addNumber("least-limit", settings.minimumLimit, 1, kMostLimit,
                      "calls that an endpoint may have under way, however often it refuses");
     parser.addNumber("ejected-share", settings.ejection.maximumEjectedShare, 0, 1,
                      "share of a pool that may be left out for its failures; 0 for none");
--- a/src/libradishswitch/base/tokenbucket.cpp
+++ b/src/libradishswitch/base/tokenbucket.cpp
@@ -12,7 +12,7 @@
 constexpr double kMicrosecondsPerSecond = 1e6;
 // Sums of fractions are slightly too low because of rounding. A cost is taken when the level is short of it by no more
 // than this.
-constexpr double kTolerance = 1e-6;
+constexpr double kCostToleranceSeconds = 1e-6;
 
 }
 
@@ -27,7 +27,7 @@
 Duration TokenBucket::waitFor(double cost, Instant now) const
 {
     const double missing = std::min(cost, m_burst) - levelAt(now);
-    if (missing <= kTolerance) {
+    if (missing <= kCostToleranceSeconds) {
         return Duration::zero();
     }
     if (m_rate <= 0) {
--- a/src/libradishswitch/serving/callgate.cpp
+++ b/src/libradishswitch/serving/callgate.cpp
@@ -14,9 +14,9 @@
     , m_random(random)
     , m_settings(settings)
     , m_allowances(std::move(self), settings.allowances)
-    , m_roster(settings.roster)
-    , m_admission(m_roster, m_allowances)
-    , m_placement(m_roster, m_admission, random, std::move(ownZone), settings.placement)
+    , m_registry(settings.registry)
+    , m_admission(m_registry, m_allowances)
+    , m_placement(m_registry, m_admission, random, std::move(ownZone), settings.placement)
 {
 }
 
@@ -27,63 +27,64 @@
 
 void CallGate::setClosedZones(const std::vector<std::string> &zones)
 {
-    takeForCold(m_roster.setClosedZones(zones));
-    noteRosterChanged();
+    markCold(m_registry.setClosedZones(zones));
+    noteRegistryChanged();
 }
 
 void CallGate::closeZone(const std::string &zone)
 {
-    m_roster.closeZone(zone);
-    noteRosterChanged();
+    m_registry.closeZone(zone);
+    noteRegistryChanged();
 }
 
 void CallGate::openZone(const std::string &zone)
 {
-    takeForCold(m_roster.openZone(zone));
-    noteRosterChanged();
+    markCold(m_registry.openZone(zone));
+    noteRegistryChanged();
 }
 
-// Endpoints of a zone that was closed may have become cold since, and their entries tell it seconds later. By then all
-// gateways would have sent them what they did not send for as long.
-void CallGate::takeForCold(const std::vector<EndpointSlot> &slots)
+// The endpoints of a reopened zone may have become cold while it was closed, and their entries report it only seconds
+// later. Until then all gateways would send them full load at once, so they are treated as cold.
+void CallGate::markCold(const std::vector<EndpointSlot> &slots)
 {
     for (const EndpointSlot slot : slots) {
-        m_roster.extendCold(slot, m_timers.now() + m_allowances.usualColdSpan(m_roster.at(slot).listing.pool));
+        m_registry.extendCold(slot, m_timers.now() + m_allowances.coldStartDuration(m_registry.at(slot).listing.pool));
     }
 }
 
-// After a loss of power one gateway may have half of a zone's callers, all endpoints are cold, and the others have
-// their parts to spare.
-absl::Status CallGate::refusalOf(const PlacementQuery &query, const absl::Status &status) const
+// After a power loss one gateway may serve half of a zone's callers. All endpoints are cold, and the other gateways
+// have unused shares, so a caller that retries soon is likely to reach one of them.
+absl::Status CallGate::refusalFor(const PlacementQuery &query, const absl::Status &status) const
 {
-    if (!m_placement.isHeldByAllowances(query, m_timers.now())) {
+    if (!m_placement.isLimitedByAllowances(query, m_timers.now())) {
         return status;
     }
-    return makeFailure(FailureCode::Overloaded, "endpoints that bear few calls get no more from this gateway",
+    return makeFailure(FailureCode::Overloaded, "this gateway's share of calls to cold or limited endpoints is used up",
                        m_settings.coldRetryAfter);
 }
 
 void CallGate::place(const PlacementQuery &query, Callback callback)
 {
-    if (isTurnedAway(query)) {
+    if (shouldShed(query)) {
         return callback(makeFailure(FailureCode::Overloaded,
-                                    "the endpoints of pool " + query.pool.value() + " answer late already",
-                                    m_settings.pressedRetryAfter));
+                                    "all endpoints of pool " + query.pool.value() + " answer late",
+                                    m_settings.overloadRetryAfter));
     }
     const auto queue = m_queues.find(query.pool);
     const bool isQueueEmpty = queue == m_queues.end() || queue->second.size() == 0;
     if (isQueueEmpty && tryPlace(query, callback)) {
         return;
     }
-    if (!m_placement.hasUsable(query, m_timers.now())) {
+    if (!m_placement.hasOpenEndpoint(query, m_timers.now())) {
         return callback(makeFailure(FailureCode::NoEndpoint,
                                     "no endpoint of pool " + query.pool.value() + " takes calls",
                                     m_settings.noEndpointRetryAfter));
     }
-    if (const std::optional<absl::Status> status = whileAllBackedOff(query)) {
+    if (const std::optional<absl::Status> status = refusalIfAllBackedOff(query)) {
         return callback(*status);
     }
-    // A further attempt has used up time and an endpoint's work already; it doesn't take a place from those that wait.
+    // A further attempt of a call does not wait: it has already used up time and an endpoint's work, and must not take
+    // a place from the calls in the queue.
     if (!query.excluded.empty()) {
         return callback(makeFailure(FailureCode::Overloaded,
                                     "no other endpoint of pool " + query.pool.value() + " has room",
@@ -92,7 +93,7 @@
     wait(query, std::move(callback));
 }
 
-bool CallGate::isTurnedAway(const PlacementQuery &query)
+bool CallGate::shouldShed(const PlacementQuery &query)
 {
     if (query.lateAfter == Duration::zero() || m_settings.ignoresPressure) {
         return false;
@@ -108,25 +109,25 @@
     if (!slot) {
         return false;
     }
-    const EndpointListing &listing = m_roster.at(*slot).listing;
+    const EndpointListing &listing = m_registry.at(*slot).listing;
     const Placement placement{++m_lastPlacement,
                               listing.id,
                               listing.address,
                               listing.zone,
                               m_placement.expectedFirstAnswer(*slot, query, now),
-                              listing.bornAtMilliseconds};
-    const std::int64_t unread = m_placement.noteSent(*slot, query, now);
-    m_placed.insert_or_assign(placement.id, Placed{*slot, query.pool, unread, now, query.lateAfter});
+                              listing.startedAtMilliseconds};
+    const std::int64_t prefillTokens = m_placement.noteSent(*slot, query, now);
+    m_placed.insert_or_assign(placement.id, PlacedCall{*slot, query.pool, prefillTokens, now, query.lateAfter});
     callback(placement);
     return true;
 }
 
-QueuedRequest CallGate::queued(const PlacementQuery &query)
+QueuedRequest CallGate::queuedRequest(const PlacementQuery &query)
 {
     QueuedRequest request;
     request.request = query.call;
     request.organisation = query.organisation;
-    // In the queue the higher number goes first.
+    // In the fair queue a higher number is served first, while 0 is the most urgent here.
     request.priority = -query.priority;
     request.cost = query.cost;
     request.deadline = query.deadline;
@@ -137,13 +138,13 @@
 {
     const Instant now = m_timers.now();
     FairQueue &queue = m_queues.try_emplace(query.pool, m_settings.queue).first->second;
-    const absl::Status status = queue.enqueue(queued(query), now);
+    const absl::Status status = queue.enqueue(queuedRequest(query), now);
     if (!status.ok()) {
-        return callback(refusalOf(query, status));
+        return callback(refusalFor(query, status));
     }
-    m_waiting.insert_or_assign(query.call, Waiting{query, std::move(callback)});
+    m_waiting.insert_or_assign(query.call, WaitingCall{query, std::move(callback)});
     refuse(queue.expire(now));
-    keepTimer();
+    scheduleExpiry();
 }
 
 void CallGate::cancel(const RequestId &call, const PoolId &pool)
@@ -164,12 +165,12 @@
     if (it == m_placed.end() || it->second.isAnswered) {
         return;
     }
-    Placed &placed = it->second;
+    PlacedCall &placed = it->second;
     placed.isAnswered = true;
     const Instant now = m_timers.now();
     m_placement.noteTaken(placed.slot, placed.at);
-    m_placement.noteRead(placed.slot, placed.unread);
-    m_placement.noteFirstAnswer(placed.slot, placed.unread, now - placed.at, now);
+    m_placement.notePrefilled(placed.slot, placed.prefillTokens);
+    m_placement.noteFirstAnswer(placed.slot, placed.prefillTokens, now - placed.at, now);
 }
 
 void CallGate::noteSilent(PlacementId placement)
@@ -180,31 +181,32 @@
     }
 }
 
-NoticeNews CallGate::noteNotice(PlacementId placement, const EndpointNotice &notice)
+NoticeChanges CallGate::noteNotice(PlacementId placement, const EndpointNotice &notice)
 {
     const auto it = m_placed.find(placement);
     if (it == m_placed.end()) {
         return {};
     }
-    NoticeNews news;
+    NoticeChanges changes;
     if (std::ranges::find(notice.unreadable, NoticeField::Limit) == notice.unreadable.end()) {
-        news.hasLimitChanged = noteNamedLimit(it->second, notice.callsPerSecond);
+        changes.hasLimitChanged = noteAnnouncedLimit(it->second, notice.callsPerSecond);
     }
     if (notice.isLeaving) {
-        news.isLeavingNow = m_roster.noteLeaving(it->second.slot);
+        changes.isLeavingNow = m_registry.noteLeaving(it->second.slot);
     }
     if (notice.backoff) {
         const EndpointSlot slot = it->second.slot;
-        news.isBackoffLonger = m_placement.noteBackoff(slot, *notice.backoff, m_allowances.gateways(), m_timers.now());
+        changes.isBackoffLonger =
+            m_placement.noteBackoff(slot, *notice.backoff, m_allowances.gateways(), m_timers.now());
     }
-    if (news.isBackoffLonger) {
-        refuseWhileAllBackedOff(it->second.pool);
+    if (changes.isBackoffLonger) {
+        refuseWaitingIfAllBackedOff(it->second.pool);
     }
-    return news;
+    return changes;
 }
 
-// Nothing that waits for these endpoints can be in time, and its callers can do better than wait.
-void CallGate::refuseWhileAllBackedOff(PoolId pool)
+// No call that waits for these endpoints can be served in time, and its caller is better off with an immediate refusal.
+void CallGate::refuseWaitingIfAllBackedOff(PoolId pool)
 {
     const auto queue = m_queues.find(pool);
     if (queue == m_queues.end()) {
@@ -212,19 +214,19 @@
     }
     std::vector<RequestId> refused;
     for (const auto &[call, waiting] : m_waiting) {
-        if (waiting.query.pool == pool && whileAllBackedOff(waiting.query)) {
+        if (waiting.query.pool == pool && refusalIfAllBackedOff(waiting.query)) {
             refused.push_back(call);
         }
     }
     for (const RequestId &call : refused) {
         queue->second.remove(call, m_timers.now());
         if (auto node = m_waiting.extract(call); !node.empty()) {
-            node.mapped().callback(*whileAllBackedOff(node.mapped().query));
+            node.mapped().callback(*refusalIfAllBackedOff(node.mapped().query));
         }
     }
 }
 
-std::optional<absl::Status> CallGate::whileAllBackedOff(const PlacementQuery &query) const
+std::optional<absl::Status> CallGate::refusalIfAllBackedOff(const PlacementQuery &query) const
 {
     const std::optional<std::chrono::milliseconds> wait = untilBackoffEnds(query);
     if (!wait) {
@@ -246,33 +248,33 @@
     return it != m_placed.end() && m_admission.mayStillBeSent(it->second.slot, m_timers.now());
 }
 
-bool CallGate::noteNamedLimit(const Placed &placed, std::optional<double> callsPerSecond)
+bool CallGate::noteAnnouncedLimit(const PlacedCall &placed, std::optional<double> callsPerSecond)
 {
-    const RosterEndpoint &endpoint = m_roster.at(placed.slot);
-    if (!callsPerSecond && (!endpoint.namedLimit || placed.at < endpoint.namedLimitAt)) {
+    const RegisteredEndpoint &endpoint = m_registry.at(placed.slot);
+    if (!callsPerSecond && (!endpoint.announcedLimit || placed.at < endpoint.announcedLimitAt)) {
         return false;
     }
-    m_roster.setNamedLimit(placed.slot, callsPerSecond, m_timers.now());
+    m_registry.setAnnouncedLimit(placed.slot, callsPerSecond, m_timers.now());
     return true;
 }
 
-void CallGate::setNamedLimit(const EndpointId &endpoint, std::optional<double> callsPerSecond)
+void CallGate::setAnnouncedLimit(const EndpointId &endpoint, std::optional<double> callsPerSecond)
 {
-    if (const std::optional<EndpointSlot> slot = m_roster.slotOf(endpoint)) {
-        m_roster.setNamedLimit(*slot, callsPerSecond, m_timers.now());
+    if (const std::optional<EndpointSlot> slot = m_registry.slotOf(endpoint)) {
+        m_registry.setAnnouncedLimit(*slot, callsPerSecond, m_timers.now());
     }
 }
 
-void CallGate::noteMissed(PlacementId placement)
+void CallGate::noteWrongEndpoint(PlacementId placement)
 {
     if (const auto it = m_placed.find(placement); it != m_placed.end()) {
-        m_roster.noteMissed(it->second.slot);
+        m_registry.noteWrongEndpoint(it->second.slot);
     }
 }
 
 void CallGate::noteCrashed(const EndpointId &endpoint)
 {
-    if (const std::optional<EndpointSlot> slot = m_roster.slotOf(endpoint)) {
+    if (const std::optional<EndpointSlot> slot = m_registry.slotOf(endpoint)) {
         m_placement.noteCrashed(*slot, m_timers.now());
     }
 }
@@ -283,23 +285,24 @@
     if (it == m_placed.end()) {
         return;
     }
-    const Placed placed = it->second;
+    const PlacedCall placed = it->second;
     m_placed.erase(it);
     if (!placed.isAnswered) {
-        m_placement.noteRead(placed.slot, placed.unread);
+        m_placement.notePrefilled(placed.slot, placed.prefillTokens);
     }
     if (end == RunEnd::Ok) {
         m_placement.noteTaken(placed.slot, placed.at);
     }
     notePressure(placed, end);
-    // A silence that was counted when it was noticed is not counted again.
+    // A failure that was already counted when the endpoint fell silent is not counted again.
     const bool isCounted = end == RunEnd::Failed && placed.isSilent;
     m_placement.noteEnded(placed.slot, isCounted ? RunEnd::Cancelled : end, m_timers.now());
     admitWaiting(placed.pool);
 }
 
-// A refusal by an endpoint says that its queue is full. What failed, or was left, says nothing of its load.
-void CallGate::notePressure(const Placed &placed, RunEnd end)
+// A refusal means that the endpoint's queue is full, so it counts as a late answer. Failed and cancelled calls say
+// nothing about the endpoint's load.
+void CallGate::notePressure(const PlacedCall &placed, RunEnd end)
 {
     if (placed.lateAfter == Duration::zero() || end == RunEnd::Failed || end == RunEnd::Cancelled) {
         return;
@@ -308,18 +311,19 @@
     m_placement.notePressure(placed.slot, end == RunEnd::Refused || now - placed.at > placed.lateAfter, now);
 }
 
-// The order is the queue's. A call that can't be placed now, because the endpoints that have room are none that it may
-// be sent, goes back into the queue, and those behind it are looked at: a few only, since each is ranked anew.
+// Places waiting calls in the queue's order. A call goes back into the queue if none of the endpoints with room may be
+// sent it, and the calls behind it are tried. At most kMaxSkipped calls are skipped that way, since re-enqueueing ranks
+// each of them anew.
 void CallGate::admitWaiting(const PoolId &pool)
 {
     const auto queue = m_queues.find(pool);
     if (queue == m_queues.end()) {
         return;
     }
-    constexpr std::size_t kMostMisfits = 4;
+    constexpr std::size_t kMaxSkipped = 4;
     const Instant now = m_timers.now();
-    std::vector<Waiting> misfits;
-    while (queue->second.size() > 0 && misfits.size() < kMostMisfits) {
+    std::vector<WaitingCall> skipped;
+    while (queue->second.size() > 0 && skipped.size() < kMaxSkipped) {
         PlacementQuery probe;
         probe.pool = pool;
         if (!m_placement.choose(probe, now)) {
@@ -333,20 +337,20 @@
         if (node.empty()) {
             continue;
         }
-        Waiting waiting = std::move(node.mapped());
+        WaitingCall waiting = std::move(node.mapped());
         if (!tryPlace(waiting.query, waiting.callback)) {
-            misfits.push_back(std::move(waiting));
+            skipped.push_back(std::move(waiting));
         }
     }
-    for (Waiting &misfit : misfits) {
-        wait(misfit.query, std::move(misfit.callback));
+    for (WaitingCall &skippedCall : skipped) {
+        wait(skippedCall.query, std::move(skippedCall.callback));
     }
     refuse(queue->second.expire(now));
 }
 
-void CallGate::noteRosterChanged()
+void CallGate::noteRegistryChanged()
 {
-    for (const EndpointSlot slot : m_roster.forgetGone(m_timers.now())) {
+    for (const EndpointSlot slot : m_registry.forgetGone(m_timers.now())) {
         m_placement.forget(slot);
     }
     for (const auto &[pool, queue] : m_queues) {
@@ -358,10 +362,10 @@
 {
     m_timer = 0;
     for (auto &[pool, queue] : m_queues) {
-        // An endpoint may have become usable by time alone, when its ejection was over.
+        // An endpoint may have become usable because its ejection has ended, which is not reported by any event.
         admitWaiting(pool);
     }
-    keepTimer();
+    scheduleExpiry();
 }
 
 void CallGate::refuse(const std::vector<QueueRefusal> &refusals)
@@ -369,12 +373,12 @@
     for (const QueueRefusal &refusal : refusals) {
         auto node = m_waiting.extract(refusal.request);
         if (!node.empty()) {
-            node.mapped().callback(refusalOf(node.mapped().query, refusal.status));
+            node.mapped().callback(refusalFor(node.mapped().query, refusal.status));
         }
     }
 }
 
-void CallGate::keepTimer()
+void CallGate::scheduleExpiry()
 {
     if (m_timer == 0 && !m_waiting.empty()) {
         m_timer = m_timers.after(m_settings.expiryInterval, [this] {
