--- a/tests/core/budgets/budgetfailures_test.cpp
+++ b/tests/core/budgets/budgetfailures_test.cpp
@@ -92,7 +92,7 @@
         ++served;
         run(Milliseconds(800));
     }
-    EXPECT_GE(served, 45) << "the portion should last about as long as the survival time says";
+    EXPECT_GE(served, 45) << "the portion should last for about the survival time";
     const auto refused = reserve(*process, "x", 100, Seconds(60));
     const Instant askedAt = timers.now();
     tasks.runAll();
@@ -161,7 +161,7 @@
 
     expectLedgerHolds();
     EXPECT_EQ(record().paid(), 40'000);
-    EXPECT_GE(spent, 40'000 - 2 * 200) << "what is left over at the end should not serve a request";
+    EXPECT_GE(spent, 40'000 - 2 * 200) << "the tokens left at the end should be too few for a request";
 }
 
 // A holder is paused for minutes, and a closer considers it dead and closes its portion. When the holder continues, its
--- a/tests/core/budgets/budgetfixture.h
+++ b/tests/core/budgets/budgetfixture.h
@@ -93,10 +93,10 @@
     }
 
     std::shared_ptr<Answer> reserve(Process &process, const std::string &request, std::int64_t tokens,
-                                    Duration patience = Seconds(10), const BudgetId &budget = kBudget)
+                                    Duration timeout = Seconds(10), const BudgetId &budget = kBudget)
     {
         const auto answer = std::make_shared<Answer>();
-        const ReservationRequest asked{RequestId(request), budget, tokens, timers.now() + patience};
+        const ReservationRequest asked{RequestId(request), budget, tokens, timers.now() + timeout};
         process.holder->reserve(asked, [this, answer](absl::StatusOr<Reservation> result) {
             EXPECT_FALSE(answer->result) << "answered twice";
             answer->result = std::move(result);
--- a/tests/core/budgets/budgetheadroom_test.cpp
+++ b/tests/core/budgets/budgetheadroom_test.cpp
@@ -26,10 +26,10 @@
         process = start("h1");
     }
 
-    std::shared_ptr<Answer> ask(std::int64_t tokens, bool isUrgent, Duration patience = Milliseconds(300))
+    std::shared_ptr<Answer> ask(std::int64_t tokens, bool isUrgent, Duration timeout = Milliseconds(300))
     {
         const auto answer = std::make_shared<Answer>();
-        ReservationRequest request{RequestId("r" + std::to_string(++calls)), kBudget, tokens, timers.now() + patience};
+        ReservationRequest request{RequestId("r" + std::to_string(++calls)), kBudget, tokens, timers.now() + timeout};
         request.isUrgent = isUrgent;
         process->holder->reserve(request, [answer](absl::StatusOr<Reservation> result) {
             answer->result = std::move(result);
@@ -117,7 +117,7 @@
     }
     run(Seconds(2));
 
-    // 110,000 are left, of which 100,000 are kept from ordinary calls and 50,000 from large ones.
+    // 110,000 tokens are left. Ordinary calls must leave 100,000 of them, and large urgent calls 50,000.
     EXPECT_FALSE(use(11'000, false));
     int summaries = 0;
     while (use(9'000, true)) {
--- a/tests/core/budgets/heldshare_test.cpp
+++ b/tests/core/budgets/heldshare_test.cpp
@@ -96,7 +96,7 @@
             killed->link.setCut(true);
             const std::int64_t before = served;
             use(*killed, 45);
-            EXPECT_EQ(served - before, 45'000) << "the outage was not outlived";
+            EXPECT_EQ(served - before, 45'000) << "a request was refused during the outage";
             killed->link.setCut(false);
             use(*killed, 155);
         }
--- a/tests/core/budgets/portioncloser_test.cpp
+++ b/tests/core/budgets/portioncloser_test.cpp
@@ -267,7 +267,8 @@
     ASSERT_EQ((*late->result)->portion, portion);
     EXPECT_FALSE(agents.start("a1", RequestId("late"), portion));
     EXPECT_FALSE(agents.start("a2", RequestId("late"), portion));
-    EXPECT_LT((*late->result)->confirmedAt + Seconds(20), timers.now()) << "no agent that started since may be sent it";
+    EXPECT_LT((*late->result)->confirmedAt + Seconds(20), timers.now())
+        << "the run must not be sent to an agent that started later";
     holder->holder->release(RequestId("late"));
 
     holder->link.setCut(false);
--- a/tests/core/budgets/searchworld.cpp
+++ b/tests/core/budgets/searchworld.cpp
@@ -256,7 +256,7 @@
         committed += it.stage == Stage::Running ? it.tokens : 0;
     }
     if (!record.check().ok()) {
-        return "the record breaks its rule";
+        return "the record breaks its invariant";
     }
     if (committed > record.paid()) {
         return "spent " + std::to_string(committed) + " of " + std::to_string(record.paid());
@@ -268,7 +268,7 @@
     for (int i = 0; i < 2; ++i) {
         paid += m_submittedPayments[i] > 0 ? kPayments[i] : 0;
     }
-    return record.paid() > paid ? "a payment counts twice" : "";
+    return record.paid() > paid ? "a payment was counted twice" : "";
 }
 
 std::string SearchWorld::failureAfterFairRun()
