--- a/src/libradishswitch/serving/callplacement.cpp
+++ b/src/libradishswitch/serving/callplacement.cpp
@@ -12,16 +12,16 @@
 namespace
 {
 
-/// Costs that differ by less than this many seconds count as equal, and chance decides, so that processes do not all
-/// take the same endpoint.
-constexpr double kTolerance = 0.002;
+/// Costs that differ by less than this count as equal, and one of the endpoints is chosen at random, so that the
+/// gateways do not all choose the same one.
+constexpr double kCostToleranceSeconds = 0.002;
 
 double seconds(Duration span)
 {
     return std::chrono::duration<double>(span).count();
 }
 
-/// Parts that other calls have as well: all but the last, which is the call's own or its session's.
+/// Number of parts that other calls may share: all but the last, which belongs to this call or its session only.
 std::size_t sharedParts(const std::vector<PromptPart> &parts)
 {
     return parts.empty() ? 0 : parts.size() - 1;
@@ -32,20 +32,20 @@
 CallPlacement::Prompt::Prompt(const std::vector<PromptPart> &parts)
     : tokensFrom(parts.size() + 1)
 {
-    chain.reserve(parts.size());
+    prefixHashes.reserve(parts.size());
     std::uint64_t hash = 0;
     for (const PromptPart &part : parts) {
         hash = rendezvousScore(part.id, hash);
-        chain.push_back(hash);
+        prefixHashes.push_back(hash);
     }
     for (std::size_t n = parts.size(); n > 0; --n) {
         tokensFrom[n - 1] = tokensFrom[n] + parts[n - 1].tokens;
     }
 }
 
-CallPlacement::CallPlacement(EndpointRoster &roster, const EndpointAdmission &admission, RandomSource &random,
+CallPlacement::CallPlacement(EndpointRegistry &registry, const EndpointAdmission &admission, RandomSource &random,
                              std::string ownZone, PlacementSettings settings)
-    : m_roster(roster)
+    : m_registry(registry)
     , m_admission(admission)
     , m_random(random)
     , m_ownZone(std::move(ownZone))
@@ -55,20 +55,20 @@
 
 std::optional<EndpointSlot> CallPlacement::choose(const PlacementQuery &query, Instant now)
 {
-    if (const auto slot = cheapest(query, Choosiness::Usual, now)) {
+    if (const auto slot = cheapest(query, SelectionMode::Preferred, now)) {
         return slot;
     }
-    const std::vector<EndpointSlot> &slots = m_roster.pool(query.pool);
-    const bool isUsualBusy = std::ranges::any_of(slots, [&](EndpointSlot slot) {
-        const RosterEndpoint &it = m_roster.at(slot);
-        return m_admission.isInUse(slot, query, now) && (it.inFlight > 0 || it.backoff.isOn(now));
+    const std::vector<EndpointSlot> &slots = m_registry.pool(query.pool);
+    const bool isPreferredBusy = std::ranges::any_of(slots, [&](EndpointSlot slot) {
+        const RegisteredEndpoint &it = m_registry.at(slot);
+        return m_admission.isHealthy(slot, query, now) && (it.inFlight > 0 || it.backoff.isOn(now));
     });
-    return isUsualBusy ? std::nullopt : cheapest(query, Choosiness::AnyAlive, now);
+    return isPreferredBusy ? std::nullopt : cheapest(query, SelectionMode::LastResort, now);
 }
 
-bool CallPlacement::hasUsable(const PlacementQuery &query, Instant now) const
+bool CallPlacement::hasOpenEndpoint(const PlacementQuery &query, Instant now) const
 {
-    return std::ranges::any_of(m_roster.pool(query.pool), [&](EndpointSlot slot) {
+    return std::ranges::any_of(m_registry.pool(query.pool), [&](EndpointSlot slot) {
         return m_admission.isOpen(slot, query, now);
     });
 }
@@ -76,11 +76,11 @@
 std::optional<Duration> CallPlacement::untilBackoffEnds(const PlacementQuery &query, Instant now) const
 {
     std::optional<Instant> first;
-    for (const EndpointSlot slot : m_roster.pool(query.pool)) {
+    for (const EndpointSlot slot : m_registry.pool(query.pool)) {
         if (!m_admission.isOpen(slot, query, now)) {
             continue;
         }
-        const EndpointBackoff &backoff = m_roster.at(slot).backoff;
+        const EndpointBackoff &backoff = m_registry.at(slot).backoff;
         if (!backoff.isOn(now)) {
             return std::nullopt;
         }
@@ -89,39 +89,38 @@
     return first ? std::optional<Duration>(*first - now) : std::nullopt;
 }
 
-bool CallPlacement::isHeldByAllowances(const PlacementQuery &query, Instant now) const
+bool CallPlacement::isLimitedByAllowances(const PlacementQuery &query, Instant now) const
 {
-    return std::ranges::any_of(m_roster.pool(query.pool), [&](EndpointSlot slot) {
-        return m_admission.admission(slot, query, now) == Admission::PartUsedUp;
+    return std::ranges::any_of(m_registry.pool(query.pool), [&](EndpointSlot slot) {
+        return m_admission.admission(slot, query, now) == Admission::ShareUsedUp;
     });
 }
 
-bool CallPlacement::isCandidate(EndpointSlot slot, const PlacementQuery &query, Choosiness choosiness,
-                                Instant now) const
+bool CallPlacement::isCandidate(EndpointSlot slot, const PlacementQuery &query, SelectionMode mode, Instant now) const
 {
     const Admission admission = m_admission.admission(slot, query, now);
-    const bool isLastResort = admission == Admission::Ejected || admission == Admission::Doubtful;
-    return admission == Admission::Allowed || (choosiness == Choosiness::AnyAlive && isLastResort);
+    const bool isLastResort = admission == Admission::Ejected || admission == Admission::Suspect;
+    return admission == Admission::Allowed || (mode == SelectionMode::LastResort && isLastResort);
 }
 
-std::optional<EndpointSlot> CallPlacement::cheapest(const PlacementQuery &query, Choosiness choosiness, Instant now)
+std::optional<EndpointSlot> CallPlacement::cheapest(const PlacementQuery &query, SelectionMode mode, Instant now)
 {
-    const std::optional<EndpointSlot> home = homeOf(query, choosiness, now);
+    const std::optional<EndpointSlot> affinity = affinityEndpoint(query, mode, now);
     const Prompt prompt(query.parts);
-    const std::vector<EndpointSlot> &slots = m_roster.pool(query.pool);
+    const std::vector<EndpointSlot> &slots = m_registry.pool(query.pool);
     std::optional<EndpointSlot> best;
     double bestCost = 0;
     std::uint64_t equals = 0;
     for (const EndpointSlot slot : slots) {
-        if (!isCandidate(slot, query, choosiness, now)) {
+        if (!isCandidate(slot, query, mode, now)) {
             continue;
         }
-        const double slotCost = cost(slot, query, prompt, home, now);
-        if (!best || slotCost < bestCost - kTolerance) {
+        const double slotCost = cost(slot, query, prompt, affinity, now);
+        if (!best || slotCost < bestCost - kCostToleranceSeconds) {
             best = slot;
             bestCost = slotCost;
             equals = 1;
-        } else if (slotCost < bestCost + kTolerance && m_random.below(++equals) == 0) {
+        } else if (slotCost < bestCost + kCostToleranceSeconds && m_random.below(++equals) == 0) {
             best = slot;
             bestCost = std::min(bestCost, slotCost);
         }
@@ -129,56 +128,57 @@
     return best;
 }
 
-// Rendezvous hashing over all candidates: when an endpoint goes, only the prompts that met there move.
-std::optional<EndpointSlot> CallPlacement::homeOf(const PlacementQuery &query, Choosiness choosiness, Instant now) const
+// Rendezvous hashing over all candidates: when an endpoint leaves, only the prompts assigned to it move.
+std::optional<EndpointSlot> CallPlacement::affinityEndpoint(const PlacementQuery &query, SelectionMode mode,
+                                                            Instant now) const
 {
     const std::size_t shared = sharedParts(query.parts);
     if (shared == 0 || m_settings.hasNoAffinity) {
         return std::nullopt;
     }
     const std::uint64_t key = query.parts[shared - 1].id;
-    std::optional<EndpointSlot> home;
+    std::optional<EndpointSlot> affinity;
     std::uint64_t best = 0;
-    for (const EndpointSlot slot : m_roster.pool(query.pool)) {
-        const bool isEligible = choosiness == Choosiness::Usual ? m_admission.isInUse(slot, query, now)
-                                                                : m_admission.isOpen(slot, query, now);
-        if (!isEligible || m_roster.at(slot).backoff.isOn(now)) {
+    for (const EndpointSlot slot : m_registry.pool(query.pool)) {
+        const bool isEligible = mode == SelectionMode::Preferred ? m_admission.isHealthy(slot, query, now)
+                                                                 : m_admission.isOpen(slot, query, now);
+        if (!isEligible || m_registry.at(slot).backoff.isOn(now)) {
             continue;
         }
-        const std::uint64_t score = rendezvousScore(m_roster.at(slot).hash, key);
-        if (!home || score > best) {
-            home = slot;
+        const std::uint64_t score = rendezvousScore(m_registry.at(slot).hash, key);
+        if (!affinity || score > best) {
+            affinity = slot;
             best = score;
         }
     }
-    return home;
+    return affinity;
 }
 
-std::int64_t CallPlacement::tokensToRead(EndpointSlot slot, const Prompt &prompt) const
+std::int64_t CallPlacement::tokensToPrefill(EndpointSlot slot, const Prompt &prompt) const
 {
-    return prompt.tokensFrom[m_hints.cachedBlocks(slot, prompt.chain)];
+    return prompt.tokensFrom[m_hints.cachedBlocks(slot, prompt.prefixHashes)];
 }
 
 double CallPlacement::cost(EndpointSlot slot, const PlacementQuery &query, const Prompt &prompt,
-                           std::optional<EndpointSlot> home, Instant now) const
+                           std::optional<EndpointSlot> affinity, Instant now) const
 {
-    const RosterEndpoint &it = m_roster.at(slot);
-    std::int64_t toRead = tokensToRead(slot, prompt);
+    const RegisteredEndpoint &it = m_registry.at(slot);
+    std::int64_t toPrefill = tokensToPrefill(slot, prompt);
     const std::int64_t own = prompt.tokensFrom[sharedParts(query.parts)];
-    // Other processes send their calls with this part to its home, so that it has read the part also where this process
-    // has not been told so.
-    if (home == slot) {
-        toRead = std::min(toRead, own);
+    // Other gateways send calls with this prefix to its affinity endpoint. Its cache is assumed to hold the prefix even
+    // if this process has not sent it there.
+    if (affinity == slot) {
+        toPrefill = std::min(toPrefill, own);
     }
-    const double reread = m_settings.rereadFactor * static_cast<double>(std::max<std::int64_t>(toRead - own, 0));
-    const double tokens = static_cast<double>(toRead + it.unreadTokens) + reread;
-    const double batch = static_cast<double>(it.inFlight) / std::max(it.limit, 1.0);
+    const double reread = m_settings.rereadFactor * static_cast<double>(std::max<std::int64_t>(toPrefill - own, 0));
+    const double tokens = static_cast<double>(toPrefill + it.pendingPrefillTokens) + reread;
+    const double batch = static_cast<double>(it.inFlight) / std::max(it.inFlightLimit, 1.0);
     const double zone = it.listing.zone == m_ownZone ? 0 : seconds(m_settings.zoneDistance);
-    return tokens / readTokensPerSecond(query.pool) + batch * seconds(m_settings.fullBatch) + zone
+    return tokens / prefillTokensPerSecond(query.pool) + batch * seconds(m_settings.fullBatch) + zone
         + delaySeconds(it, now);
 }
 
-double CallPlacement::delaySeconds(const RosterEndpoint &endpoint, Instant now) const
+double CallPlacement::delaySeconds(const RegisteredEndpoint &endpoint, Instant now) const
 {
     if (endpoint.delaySeconds <= 0) {
         return 0;
@@ -186,21 +186,21 @@
     return endpoint.delaySeconds * std::exp2(-seconds(now - endpoint.delayNotedAt) / seconds(m_settings.delayHalfLife));
 }
 
-double CallPlacement::readTokensPerSecond(const PoolId &pool) const
+double CallPlacement::prefillTokensPerSecond(const PoolId &pool) const
 {
     const auto it = m_speeds.find(pool);
-    return it == m_speeds.end() || m_settings.hasFixedSpeed ? m_settings.readTokensPerSecond
+    return it == m_speeds.end() || m_settings.hasFixedSpeed ? m_settings.prefillTokensPerSecond
                                                             : it->second.tokensPerSecond();
 }
 
-// One slow endpoint is left to placement, which sends calls elsewhere; only where the least pressed one is pressed too
-// is there more work than the pool can do in time.
+// A single slow endpoint needs no shedding, since placement avoids it. Only if even the least loaded endpoint answers
+// late does the pool have more work than it can do in time.
 double CallPlacement::pressure(const PlacementQuery &query, Instant now) const
 {
     std::optional<double> least;
-    for (const EndpointSlot slot : m_roster.pool(query.pool)) {
-        if (isCandidate(slot, query, Choosiness::Usual, now)) {
-            const double pressure = m_roster.at(slot).pressure.value(now);
+    for (const EndpointSlot slot : m_registry.pool(query.pool)) {
+        if (isCandidate(slot, query, SelectionMode::Preferred, now)) {
+            const double pressure = m_registry.at(slot).pressure.value(now);
             least = least ? std::min(*least, pressure) : pressure;
         }
     }
@@ -209,62 +209,63 @@
 
 void CallPlacement::notePressure(EndpointSlot slot, bool isLate, Instant now)
 {
-    m_roster.at(slot).pressure.noteAnswer(isLate, now);
+    m_registry.at(slot).pressure.noteAnswer(isLate, now);
 }
 
 std::int64_t CallPlacement::noteSent(EndpointSlot slot, const PlacementQuery &query, Instant now)
 {
-    RosterEndpoint &it = m_roster.at(slot);
+    RegisteredEndpoint &it = m_registry.at(slot);
     const Prompt prompt(query.parts);
-    const std::int64_t unread = tokensToRead(slot, prompt);
-    m_hints.noteDispatched(slot, prompt.chain);
+    const std::int64_t prefillTokens = tokensToPrefill(slot, prompt);
+    m_hints.noteDispatched(slot, prompt.prefixHashes);
     it.inFlight += 1;
-    it.unreadTokens += unread;
+    it.pendingPrefillTokens += prefillTokens;
     it.ejection.noteDispatched(now);
-    if (m_roster.isCold(slot, now)) {
+    if (m_registry.isCold(slot, now)) {
         it.coldCalls.note(now);
     }
-    if (m_roster.isLimited(slot, now)) {
+    if (m_registry.isLimited(slot, now)) {
         it.limitedCalls.note(now);
     }
-    return unread;
+    return prefillTokens;
 }
 
-void CallPlacement::noteRead(EndpointSlot slot, std::int64_t unread)
+void CallPlacement::notePrefilled(EndpointSlot slot, std::int64_t prefillTokens)
 {
-    RosterEndpoint &it = m_roster.at(slot);
-    it.unreadTokens = std::max<std::int64_t>(it.unreadTokens - unread, 0);
+    RegisteredEndpoint &it = m_registry.at(slot);
+    it.pendingPrefillTokens = std::max<std::int64_t>(it.pendingPrefillTokens - prefillTokens, 0);
 }
 
-void CallPlacement::noteFirstAnswer(EndpointSlot slot, std::int64_t unread, Duration taken, Instant now)
+void CallPlacement::noteFirstAnswer(EndpointSlot slot, std::int64_t prefillTokens, Duration taken, Instant now)
 {
-    RosterEndpoint &it = m_roster.at(slot);
-    const double expected = static_cast<double>(unread) / readTokensPerSecond(it.listing.pool);
+    RegisteredEndpoint &it = m_registry.at(slot);
+    const double expected = static_cast<double>(prefillTokens) / prefillTokensPerSecond(it.listing.pool);
     const double late = std::max(seconds(taken) - expected, 0.0);
     const double before = delaySeconds(it, now);
     it.delaySeconds = before + m_settings.delayStep * (late - before);
     it.delayNotedAt = now;
-    ReadingSpeedSettings speed;
-    speed.assumed = m_settings.readTokensPerSecond;
-    m_speeds.try_emplace(it.listing.pool, speed).first->second.note(unread, taken, now);
+    PrefillSpeedSettings speed;
+    speed.assumed = m_settings.prefillTokensPerSecond;
+    m_speeds.try_emplace(it.listing.pool, speed).first->second.note(prefillTokens, taken, now);
 }
 
 void CallPlacement::noteEnded(EndpointSlot slot, RunEnd end, Instant now)
 {
-    RosterEndpoint &it = m_roster.at(slot);
+    RegisteredEndpoint &it = m_registry.at(slot);
     const double fullLimit = std::max(it.listing.slots, 1);
-    const bool wasAtLimit = it.inFlight >= static_cast<int>(it.limit);
+    const bool wasAtLimit = it.inFlight >= static_cast<int>(it.inFlightLimit);
     it.inFlight -= 1;
     switch (end) {
     case RunEnd::Ok:
         if (wasAtLimit) {
-            it.limit = std::min(fullLimit, it.limit + (it.limit < it.quickLimit ? 1 : 1 / it.limit));
+            it.inFlightLimit = std::min(
+                fullLimit, it.inFlightLimit + (it.inFlightLimit < it.fastGrowthLimit ? 1 : 1 / it.inFlightLimit));
         }
         it.ejection.noteSucceeded(m_settings.ejection, now);
         return;
     case RunEnd::Refused:
-        // The endpoint is full with the work of others: half as much until it takes work again.
-        it.limit = std::max(m_settings.leastLimit, it.limit / 2);
+        // The endpoint is full with the calls of other gateways: halve the limit until it accepts calls again.
+        it.inFlightLimit = std::max(m_settings.minimumLimit, it.inFlightLimit / 2);
         it.pause.noteRefused(m_settings.pause, now);
         it.ejection.noteNeutral();
         return;
@@ -279,48 +280,48 @@
 
 bool CallPlacement::noteBackoff(EndpointSlot slot, Duration backoff, std::size_t gateways, Instant now)
 {
-    RosterEndpoint &it = m_roster.at(slot);
+    RegisteredEndpoint &it = m_registry.at(slot);
     const bool wasBackedOff = it.backoff.isOn(now);
     if (!it.backoff.extend(backoff, gateways, m_random.fraction(), now, m_settings.backoff)) {
         return false;
     }
     if (!wasBackedOff) {
-        it.quickLimit = it.limit / 2;
-        it.limit = m_settings.leastLimit;
+        it.fastGrowthLimit = it.inFlightLimit / 2;
+        it.inFlightLimit = m_settings.minimumLimit;
     }
     return true;
 }
 
 void CallPlacement::noteTaken(EndpointSlot slot, Instant sentAt)
 {
-    m_roster.at(slot).backoff.noteTaken(sentAt);
-    m_roster.at(slot).pause.noteTaken(sentAt);
+    m_registry.at(slot).backoff.noteTaken(sentAt);
+    m_registry.at(slot).pause.noteTaken(sentAt);
 }
 
 void CallPlacement::noteFailed(EndpointSlot slot, Instant now)
 {
-    if (m_roster.at(slot).ejection.noteFailed(m_settings.ejection, now)) {
+    if (m_registry.at(slot).ejection.noteFailed(m_settings.ejection, now)) {
         ejectUnlessTooMany(slot, now);
     }
 }
 
 void CallPlacement::noteCrashed(EndpointSlot slot, Instant now)
 {
-    if (!m_roster.at(slot).ejection.isEjected(now)) {
+    if (!m_registry.at(slot).ejection.isEjected(now)) {
         ejectUnlessTooMany(slot, now);
     }
 }
 
-// When most endpoints of a pool fail, the cause is rarely in each of them; leaving them all out would make sure of the
-// outage.
+// When most endpoints of a pool fail, the cause is rarely in the endpoints themselves, and ejecting all of them would
+// turn the fault into an outage.
 void CallPlacement::ejectUnlessTooMany(EndpointSlot slot, Instant now)
 {
-    const std::vector<EndpointSlot> &slots = m_roster.pool(m_roster.at(slot).listing.pool);
+    const std::vector<EndpointSlot> &slots = m_registry.pool(m_registry.at(slot).listing.pool);
     const auto ejected = std::ranges::count_if(slots, [&](EndpointSlot other) {
-        return m_roster.at(other).ejection.isEjected(now);
+        return m_registry.at(other).ejection.isEjected(now);
     });
     if (static_cast<double>(ejected + 1) <= m_settings.ejection.ejectedShare * static_cast<double>(slots.size())) {
-        m_roster.at(slot).ejection.eject(m_settings.ejection, now);
+        m_registry.at(slot).ejection.eject(m_settings.ejection, now);
     }
 }
 
@@ -331,9 +332,9 @@
 
 Duration CallPlacement::expectedFirstAnswer(EndpointSlot slot, const PlacementQuery &query, Instant now) const
 {
-    const RosterEndpoint &it = m_roster.at(slot);
-    const double tokens = static_cast<double>(tokensToRead(slot, Prompt(query.parts)) + it.unreadTokens);
-    const double span = tokens / readTokensPerSecond(query.pool) + delaySeconds(it, now);
+    const RegisteredEndpoint &it = m_registry.at(slot);
+    const double tokens = static_cast<double>(tokensToPrefill(slot, Prompt(query.parts)) + it.pendingPrefillTokens);
+    const double span = tokens / prefillTokensPerSecond(query.pool) + delaySeconds(it, now);
     return Duration(static_cast<Duration::rep>(span * 1e6));
 }
 
--- a/tests/core/serving/readingspeed_test.cpp
+++ b/tests/core/serving/prefillspeed_test.cpp
@@ -1,4 +1,4 @@
-#include "serving/readingspeed.h"
+#include "serving/prefillspeed.h"
 
 #include <gtest/gtest.h>
 
@@ -14,33 +14,33 @@
 
 }
 
-TEST(ReadingSpeedTest, withoutAnswers_isTheAssumedOne)
+TEST(PrefillSpeedTest, speed_withoutAnswers_isTheAssumedOne)
 {
-    EXPECT_DOUBLE_EQ(ReadingSpeed().tokensPerSecond(), 101'000);
+    EXPECT_DOUBLE_EQ(PrefillSpeed().tokensPerSecond(), 101'000);
 }
 
-TEST(ReadingSpeedTest, answersOfSlowerEngines_bringItDown)
+TEST(PrefillSpeedTest, speed_answersOfSlowerEngines_falls)
 {
-    ReadingSpeed speed;
+    PrefillSpeed speed;
     for (int n = 0; n < 20; ++n) {
         speed.note(9'000, std::chrono::milliseconds(300), at(n));
     }
     EXPECT_NEAR(speed.tokensPerSecond(), 30'000, 3'000);
 }
 
-// The time of a short prompt tells of the network and the queue.
-TEST(ReadingSpeedTest, shortPrompts_tellNothing)
+// The latency of a short prompt is mostly that of the network and the queue.
+TEST(PrefillSpeedTest, speed_shortPrompts_isUnchanged)
 {
-    ReadingSpeed speed;
+    PrefillSpeed speed;
     for (int n = 0; n < 20; ++n) {
         speed.note(500, std::chrono::milliseconds(300), at(n));
     }
     EXPECT_DOUBLE_EQ(speed.tokensPerSecond(), 101'000);
 }
 
-TEST(ReadingSpeedTest, enginesThatBecomeFaster_areNoticedWithinAMinute)
+TEST(PrefillSpeedTest, speed_enginesBecomeFaster_risesWithinAMinute)
 {
-    ReadingSpeed speed;
+    PrefillSpeed speed;
     for (int n = 0; n < 20; ++n) {
         speed.note(9'000, std::chrono::milliseconds(900), at(n));
     }
--- a/tests/radishswitch-gateway/platformadapter_test.cpp
+++ b/tests/radishswitch-gateway/platformadapter_test.cpp
@@ -45,7 +45,7 @@
     ASSERT_TRUE(call.ok()) << call.status();
     EXPECT_EQ(call->id.value(), "9c41");
     EXPECT_EQ(call->apiKey, "k1");
-    EXPECT_EQ(call->patience, std::chrono::milliseconds(1500));
+    EXPECT_EQ(call->callerTimeout, std::chrono::milliseconds(1500));
     EXPECT_EQ(call->lastEvent, 12U);
     EXPECT_EQ(call->tokens, (TokenBounds{1460, 80}));
     EXPECT_EQ(call->parts, (std::vector<PromptPart>{{0x5c1e07a2, 800}, {0x91bd3f06, 410}}));
@@ -136,7 +136,7 @@
     EXPECT_EQ(listing->pool.value(), "x");
     EXPECT_EQ(listing->address, "10.0.0.1:80");
     EXPECT_EQ(listing->slots, 64);
-    EXPECT_EQ(listing->bornAtMilliseconds, 17);
+    EXPECT_EQ(listing->startedAtMilliseconds, 17);
     EXPECT_TRUE(listing->isLeaving);
 }
 
