--- a/src/gateway/call.cpp
+++ b/src/gateway/call.cpp
@@ -18,10 +18,10 @@
 
 const Log kLog("call");
 
-/// Room for so many levels of the routes' priority within one of the organisations'.
+/// Number of route priorities within each level of organisation priority.
 constexpr int kRoutePriorities = 3;
 
-/// A gateway that has just started knows its configuration within this, if the store answers.
+/// A gateway that has just started reads its configuration within this time, if the store answers.
 constexpr std::chrono::milliseconds kNotReadyRetryAfter{500};
 
 std::int64_t reservationOf(const TokenBounds &tokens)
@@ -71,11 +71,12 @@
     }
     m_request = std::move(*request);
     if (!m_table) {
-        return makeFailure(FailureCode::NoEndpoint, "no configuration is known yet", kNotReadyRetryAfter);
+        return makeFailure(FailureCode::NoEndpoint, "the gateway has not read its configuration yet",
+                           kNotReadyRetryAfter);
     }
     m_route = m_table->findRoute(m_request.host, m_exchange.request().target);
     if (!m_route) {
-        return makeFailure(FailureCode::UnknownRoute, "no route for this host and path");
+        return makeFailure(FailureCode::UnknownRoute, "no route matches this host and path");
     }
     const absl::Status status = identifyOrganisation();
     if (!status.ok()) {
@@ -83,7 +84,7 @@
     }
     m_pool = choosePool();
     if (!m_pool) {
-        return makeFailure(FailureCode::NoEndpoint, "the route leads to no pool", kNotReadyRetryAfter);
+        return makeFailure(FailureCode::NoEndpoint, "no usable pool for this route", kNotReadyRetryAfter);
     }
     Duration longest = m_route->timeout;
     if (m_request.callerTimeout) {
@@ -108,8 +109,8 @@
     if (m_organisation || !needsKey) {
         return absl::OkStatus();
     }
-    return m_request.apiKey.empty() ? makeFailure(FailureCode::MissingKey, "an API key is needed")
-                                    : makeFailure(FailureCode::UnknownKey, "the API key is not known");
+    return m_request.apiKey.empty() ? makeFailure(FailureCode::MissingKey, "this route requires an API key")
+                                    : makeFailure(FailureCode::UnknownKey, "unknown API key");
 }
 
 const ServedPool *Call::choosePool()
@@ -131,7 +132,7 @@
     return nullptr;
 }
 
-// An organisation's priority goes before the route's, and within it the route's counts.
+// The organisation's priority takes precedence; the route's priority orders calls of the same level.
 int Call::priority() const
 {
     if (m_organisation && m_organisation->priority) {
@@ -212,7 +213,7 @@
     co_return makeFailure(FailureCode::ConnectionLost, "the caller is gone");
 }
 
-// Ends with an attempt that was sent, or could not be sent.
+// On success m_attempt is a new attempt, which was either sent or could not be sent.
 net::awaitable<absl::Status> Call::startNextAttempt()
 {
     m_furtherAttempt.reset();
@@ -232,7 +233,7 @@
     co_return absl::OkStatus();
 }
 
-// A call may wait for an endpoint for as long as it takes to find out about its request.
+// Checks for poison before and after the wait: while a call waits in the queue, its request may become barred.
 net::awaitable<absl::StatusOr<Placement>> Call::place()
 {
     absl::Status poison = checkPoison();
@@ -280,8 +281,8 @@
     return m_hasRetry;
 }
 
-// Retries that were granted and found no endpoint would otherwise use up the budget when it is needed most: while
-// endpoints are full.
+// Returns a granted retry that found no endpoint. Otherwise such retries would use up the budget while endpoints are
+// full, which is when it is needed most.
 void Call::returnRetry()
 {
     if (std::exchange(m_hasRetry, false)) {
@@ -321,18 +322,20 @@
     noteDelivery(co_await m_exchange.respond(std::move(response)));
 }
 
-// The endpoint did its work and is paid for it. Whether the caller has the answer is what they may ask about.
+// The endpoint has run the call, which is billed even if the answer does not reach the caller. The log line allows
+// operators to answer questions about it.
 void Call::noteDelivery(const absl::Status &status) const
 {
     if (!status.ok()) {
-        kLog.info("answer not delivered",
+        kLog.info("answer could not be delivered to the caller",
                   {field("call", m_request.id.value()), field("status", m_answeredStatus),
                    field("error", std::string(status.message()))});
     }
 }
 
-// An endpoint at work for nobody slows others down. A call that must not be repeated is let run to its end: whether it
-// ran is the only thing that its caller may still want to know.
+// Closes the connections to endpoints, since a run whose caller has disconnected takes capacity from other calls. An
+// unstreamed call that was sent and must not be repeated runs to its end, because its caller may still need to know
+// whether it has run.
 void Call::handleCallerDisconnected()
 {
     m_isCallerDisconnected = true;
--- a/src/gateway/call.h
+++ b/src/gateway/call.h
@@ -13,8 +13,10 @@
 namespace RadishSwitch
 {
 
-/// One call of a caller, from its request to the last byte of the answer: who it is from, what it may cost, where it
-/// runs, and what is done when an endpoint fails it.
+/// One call of a caller, from its request to the last byte of the answer.
+///
+/// The class identifies the organisation, reserves tokens, places the call at an endpoint, relays the answer, and makes
+/// further attempts when an endpoint fails.
 class Call
 {
 public:
@@ -23,37 +25,37 @@
     Call(const Call &) = delete;
     Call &operator=(const Call &) = delete;
 
-    /// Serves the call and answers the caller.
+    /// Serves the call and answers the caller. Returns when the call has ended.
     boost::asio::awaitable<void> run();
 
 private:
     using ConnectionPointer = EndpointConnections::ConnectionPointer;
 
-    /// The call at one endpoint.
+    /// One attempt to have the call run by an endpoint.
     struct Attempt {
         Placement placement;
         ConnectionPointer connection;
-        /// The beginning of the answer, where it was read while an earlier attempt was still kept.
+        /// The head of the answer, if it was already read while the earlier attempt was still open.
         std::optional<AnswerHead> head;
-        /// When the call was sent, or when bytes of its answer came last.
+        /// When bytes of the answer last arrived, or when the call was sent if none have arrived yet.
         Instant lastActivityAt{};
-        /// Whether an answer to another call is being read, behind which that of this one comes.
+        /// Whether the connection is delivering the answer to an earlier call, which precedes the answer to this call.
         bool isReadingStrayAnswer = false;
         bool isSilenceLogged = false;
-        /// Its connection stood, and it was not sent all the same.
+        /// The connection was established, but the gateway decided not to send the call.
         bool isWithdrawn = false;
-        /// The endpoint's answer, which is passed on, says that it failed the call.
+        /// The endpoint answered with a server error, which is relayed to the caller.
         bool hasFailed = false;
-        /// Crashes that counted against the request when it was sent.
+        /// Number of crashes attributed to the request at the time it was sent.
         int crashesBefore = 0;
-        /// Why its connection could not be had, or gave no whole answer.
+        /// Why no connection could be established, or why it did not deliver a complete answer.
         absl::Status failure;
     };
 
-    /// Nothing when the caller has its answer.
+    /// How the attempt failed; empty if the answer was relayed to the caller.
     using AttemptResult = std::optional<AttemptEnd>;
 
-    // call.cpp: what the call is and what becomes of it.
+    // call.cpp: the steps of a call, from its request to the log line at its end.
     absl::Status prepare();
     absl::Status identifyOrganisation();
     const ServedPool *choosePool();
@@ -96,7 +98,7 @@
     void logAttempt(const Attempt &attempt, AttemptEnd end) const;
     Duration silenceDuration(const Attempt &attempt) const;
 
-    // callrelay.cpp: the answer on its way to the caller.
+    // callrelay.cpp: relaying the answer to the caller.
     boost::asio::awaitable<AttemptResult> relay();
     boost::asio::awaitable<absl::StatusOr<AnswerHead>> awaitHead();
     boost::asio::awaitable<AttemptResult> relayWhole(const AnswerHead &head);
@@ -106,7 +108,7 @@
     void noteFirstAnswer();
     Duration firstAnswerWait() const;
 
-    // callsuccessor.cpp: another endpoint for a call whose endpoint says nothing.
+    // callsuccessor.cpp: a second attempt at another endpoint while the first endpoint is silent.
     bool isSilentButOpen(const Attempt &attempt, const absl::Status &status) const;
     Duration silenceTimeout(Duration wait) const;
     boost::asio::awaitable<bool> findSuccessor();
@@ -118,13 +120,13 @@
     void cancelSuccessor();
     void dropSuccessor(AttemptEnd end);
 
-    /// When the caller leaves that has seen no event of its stream yet.
+    /// When the gateway refuses a stream that has no first event yet, shortly before its caller would disconnect.
     Instant streamPatienceEnd() const;
-    /// Until the answer must have come, or for a stream its first event.
+    /// Time until the deadline of the call; for a stream without a first event, until that event is due if sooner.
     Duration timeLeft() const;
-    /// What is left of the call's time, and at least what a timer takes.
+    /// `timeLeft`, but never less than the shortest timer of 1 ms.
     Duration remainingWait() const;
-    /// The span, or the rest of the call's time where that is less.
+    /// The span, or `remainingWait` if that is shorter.
     Duration limitToTimeLeft(Duration span) const;
     bool mayRunAgain() const;
     static bool isSuccess(int status);
@@ -139,33 +141,34 @@
     const ServingRoute *m_route = nullptr;
     const ServedOrganisation *m_organisation = nullptr;
     const ServedPool *m_pool = nullptr;
-    /// When the caller's patience or the route's timeout ends.
+    /// The end of the caller's timeout or of the route's timeout, whichever is earlier.
     Instant m_deadline;
-    /// By when a stream must have begun.
+    /// Until when the first event of a stream must have been relayed; never for other calls.
     Instant m_streamStartDeadline = Instant::max();
 
     AttemptHistory m_history;
     std::vector<EndpointId> m_tried;
-    /// The attempt whose answer goes to the caller.
+    /// The attempt whose answer is relayed to the caller.
     Attempt m_attempt;
-    /// The one that is to take its place, or has done so.
+    /// The attempt at another endpoint that replaces `m_attempt` once it has begun to answer.
     std::optional<Attempt> m_successor;
     EventCutter m_eventCutter;
-    /// Whether another attempt was to follow when that was asked last.
+    /// The last decision on whether a further attempt may be made; for the log.
     std::optional<FurtherAttempt> m_furtherAttempt;
     std::optional<Duration> m_firstAnswerTime;
     Duration m_reservationTime{};
-    /// Time that the call waited for endpoints.
+    /// Total time that the call waited in the queue for endpoints.
     Duration m_queueWait{};
     int m_answeredStatus = 0;
-    /// Whether the retry budget has granted a retry that was not made yet.
+    /// The retry budget has granted a retry that has not been sent yet.
     bool m_hasRetry = false;
     bool m_isReserved = false;
     bool m_isCallerDisconnected = false;
-    /// The head of a streamed answer went to the caller: from now on it gets events or a broken connection.
+    /// The head of a streamed answer was sent to the caller. From then on a failure can only be shown by closing the
+    /// connection.
     bool m_hasStreamStarted = false;
     bool m_isAnswered = false;
-    /// Made when it is first asked for: most calls need none.
+    /// Computed on first use, since most calls need none.
     mutable std::optional<RequestFingerprint> m_fingerprint;
 };
 
--- a/src/gateway/callattempt.cpp
+++ b/src/gateway/callattempt.cpp
@@ -21,7 +21,7 @@
     case AttemptEnd::RefusedByEndpoint:
         return RunEnd::Refused;
     case AttemptEnd::WrongEndpoint:
-        // It says nothing of how well the endpoint works: there is none.
+        // Another endpoint answered, which says nothing about the health of the expected one.
     case AttemptEnd::Withdrawn:
         return RunEnd::Cancelled;
     case AttemptEnd::NotSent:
@@ -44,10 +44,10 @@
     }
 }
 
-// Leaves the attempt without a connection when none can be had.
+// On failure the attempt is left without a connection.
 net::awaitable<absl::Status> Call::connect(Attempt &attempt)
 {
-    // Its caller left after the endpoint was chosen, when there was no connection yet to close.
+    // The caller disconnected after the endpoint was chosen, when there was no connection to close yet.
     if (m_isCallerDisconnected) {
         co_return makeFailure(FailureCode::ConnectionLost, "the caller is gone");
     }
@@ -80,14 +80,14 @@
     co_return status;
 }
 
-// Much can have been heard since the endpoint was chosen.
+// The caller, the endpoint or the request may have changed state while the connection was being established.
 absl::Status Call::checkBeforeSending(const Attempt &attempt) const
 {
     if (m_isCallerDisconnected) {
         return makeFailure(FailureCode::ConnectionLost, "the caller is gone");
     }
     if (!m_services.gate.mayStillBeSent(attempt.placement.id)) {
-        return makeFailure(FailureCode::Overloaded, "the endpoint takes no calls any more");
+        return makeFailure(FailureCode::Overloaded, "the endpoint stopped accepting calls before the call was sent");
     }
     return checkPoison();
 }
@@ -97,7 +97,8 @@
     return attempt.isWithdrawn ? AttemptEnd::Withdrawn : AttemptEnd::NotSent;
 }
 
-// One that was given up early since the call's time was over says nothing.
+// Reports the connect time to the link shedder. A connect that was cut short by the deadline of the call is not
+// reported, since it says nothing about the link.
 void Call::noteConnectTime(const Placement &placement, Duration taken, const absl::Status &status) const
 {
     const bool isSilent = !status.ok() && failureCode(status) == FailureCode::ConnectionSilent;
@@ -124,7 +125,8 @@
     attempt.connection->startSending(m_services.protocol.endpointCall(m_exchange.request(), dispatch));
 }
 
-// Up to the connection's deadline; after a pause it goes on where it was.
+// Reads until the connection's deadline. After a deadline that only pauses, the next call resumes where this one
+// stopped.
 net::awaitable<absl::StatusOr<AnswerHead>> Call::readHead(Attempt &attempt)
 {
     HttpConnection &connection = *attempt.connection;
@@ -150,27 +152,27 @@
 
 void Call::applyNotice(const Attempt &attempt, const AnswerHead &head) const
 {
-    // What answers at an address that is used again says nothing of the endpoint that was meant.
+    // If the address now belongs to another endpoint, its notice does not apply to the expected one.
     if (head.isOtherEndpoint) {
         return;
     }
     const EndpointId &endpoint = attempt.placement.endpoint;
     for (const NoticeField unreadable : head.notice.unreadable) {
         if (m_services.sampler.shouldLog(m_request.id, m_services.timers.now())) {
-            kLog.error("what an endpoint says can't be read",
+            kLog.error("malformed header in an endpoint's answer",
                        {field("endpoint", endpoint.value()), field("field", noticeFieldName(unreadable))});
         }
     }
     const NoticeChanges changes = m_services.gate.noteNotice(attempt.placement.id, head.notice);
     if (changes.hasLimitChanged) {
         const std::optional<double> &limit = head.notice.callsPerSecond;
-        kLog.info(limit ? "endpoint names a limit" : "endpoint names no limit any more",
+        kLog.info(limit ? "endpoint announces a call limit" : "endpoint no longer announces a call limit",
                   {field("call", m_request.id.value()), field("endpoint", endpoint.value()),
                    field("calls_per_second", std::to_string(limit.value_or(0)))});
         m_services.limits.noteLimit(endpoint, limit);
     }
     if (changes.isLeavingNow) {
-        kLog.info("endpoint says that it leaves",
+        kLog.info("endpoint announces that it is leaving",
                   {field("call", m_request.id.value()), field("endpoint", endpoint.value())});
     }
     if (changes.isBackoffLonger) {
@@ -183,8 +185,8 @@
     }
 }
 
-// An endpoint may have sent a second answer to an earlier call on this connection. It comes where the answer to this
-// one is due, and bears the earlier call's id; the answer to this call follows it.
+// Skips a duplicate answer to an earlier call on this connection. It arrives in place of the answer to this call and
+// carries the id of the earlier call; the answer to this call follows it.
 net::awaitable<absl::Status> Call::skipStrayAnswer(Attempt &attempt)
 {
     if (!attempt.isReadingStrayAnswer) {
@@ -237,8 +239,8 @@
     }
 }
 
-// A connection that breaks may be an endpoint that has crashed, and this request the cause. One that ended with a
-// whole answer, even of a failure, has not crashed anything.
+// A broken connection may mean that the endpoint has crashed because of this request. A complete answer, even with an
+// error status, shows that the request has not crashed the endpoint.
 void Call::notePoison(const Attempt &attempt, AttemptResult result)
 {
     const Placement &placement = attempt.placement;
@@ -252,7 +254,8 @@
     }
 }
 
-// An endpoint that fails many calls while its health is good shows it by its answers alone.
+// A relayed server error counts as a failure of the endpoint: an endpoint may pass its health checks and still fail
+// calls.
 RunEnd Call::runEndOf(const Attempt &attempt, AttemptResult result) const
 {
     if (!result) {
@@ -261,7 +264,8 @@
     return m_isCallerDisconnected ? RunEnd::Cancelled : runEndWithoutAnswer(*result);
 }
 
-// A wait that ends before the call does is only a reason to look for another endpoint.
+// If the wait ends before the deadline of the call, the connection stays open while the gateway looks for another
+// endpoint.
 AtExpiry Call::atExpiry(Duration wait) const
 {
     return wait < timeLeft() ? AtExpiry::Pause : AtExpiry::Close;
--- a/src/gateway/callintake.cpp
+++ b/src/gateway/callintake.cpp
@@ -13,8 +13,8 @@
 
 const Log kLog("intake");
 
-/// The next try goes to another instance, which has time: there is nothing to wait for, but for a crowd of callers that
-/// should not come all at once.
+/// The retry normally reaches another instance that has capacity, so that a long wait is not needed. The short wait
+/// spreads out a crowd of callers.
 constexpr std::chrono::milliseconds kRetryAfter{20};
 
 }
@@ -31,9 +31,8 @@
     , m_settings(settings)
     , m_shedder(settings)
     , m_onAwayChanged(std::move(onAwayChanged))
-    , m_refusal(protocol.failure(
-          makeFailure(FailureCode::Overloaded, "this instance has no time for more calls", kRetryAfter)))
-    , m_stopRefusal(protocol.failure(makeFailure(FailureCode::Draining, "this instance stops", kRetryAfter)))
+    , m_refusal(protocol.failure(makeFailure(FailureCode::Overloaded, "this instance is overloaded", kRetryAfter)))
+    , m_stopRefusal(protocol.failure(makeFailure(FailureCode::Draining, "this instance is shutting down", kRetryAfter)))
 {
 }
 
@@ -80,7 +79,7 @@
 {
     const Instant now = m_timers.now();
     if (m_isStopped) {
-        kLog.info("call refused at the stop", {field("call", m_protocol.callId(request).value())});
+        kLog.info("call refused during shutdown", {field("call", m_protocol.callId(request).value())});
         return m_stopRefusal;
     }
     const bool isLinkFull = m_link.isShedding(now);
@@ -88,7 +87,7 @@
     m_metrics.noteRefusedUnread();
     const RequestId call = m_protocol.callId(request);
     if (m_sampler.shouldLog(call, now)) {
-        kLog.warning("call refused unread",
+        kLog.warning("call refused because of overload",
                      {field("call", call.value()), field("delay", m_queueDelay), field("link_full", isLinkFull)});
     }
     updateAway();
@@ -106,7 +105,9 @@
         });
     }
     if (std::exchange(m_isAway, isAway) != isAway) {
-        kLog.warning(isAway ? "new callers sent elsewhere" : "new callers taken again", {field("delay", m_queueDelay)});
+        kLog.warning(isAway ? "overloaded, reporting not ready to the load balancer"
+                            : "no longer overloaded, reporting ready again",
+                     {field("delay", m_queueDelay)});
         m_onAwayChanged();
     }
 }
--- a/src/gateway/callintake.h
+++ b/src/gateway/callintake.h
@@ -14,27 +14,27 @@
 namespace RadishSwitch
 {
 
-/// Refuses calls while the gateway has no processor time for them, no room on its link, or is about to stop, and says
-/// when the balancer should know.
+/// Refuses calls while the gateway has too little processor time or link capacity for them, or is stopping, and tells
+/// when the load balancer should send new callers to other instances.
 ///
-/// A gateway's delay is measured by a task that goes to the end of its worker's line: one at a time, and only while
-/// calls come, so that an idle gateway spends nothing on it.
+/// The queueing delay of the gateway is measured by a probe task appended to the worker's queue. There is at most one
+/// probe at a time, and only while calls arrive, so that an idle gateway spends no processor time on it.
 class CallIntake : public RequestIntake
 {
 public:
-    /// `onAwayChanged` is called when `isAway` has changed.
+    /// `onAwayChanged` is called whenever the value of `isAway` changes.
     CallIntake(WorkerPool &workers, TimerService &timers, const CallProtocol &protocol, CallMetrics &metrics,
                LogSampler &sampler, LinkShedder &link, LoadShedderSettings settings,
                std::function<void()> onAwayChanged);
     ~CallIntake() override;
 
-    /// From now on every call is refused: one that is taken now could last longer than the stop.
+    /// Refuses every call from now on, since a call accepted now could last longer than the shutdown.
     void stop();
 
     bool isRefusing() override;
     HttpResponse refuse(const HttpRequest &request) override;
 
-    /// Whether new callers should go to other instances for now.
+    /// Whether the load balancer should send new callers to other instances for now.
     bool isAway() const
     {
         return m_isAway;
--- a/src/gateway/callmetrics.h
+++ b/src/gateway/callmetrics.h
@@ -10,33 +10,35 @@
 namespace RadishSwitch
 {
 
-/// What is counted of calls: how they ended and why, how long each stage took, and what became of attempts.
+/// The metrics of calls: their outcomes, the duration of each stage, and the failures of attempts at endpoints.
 class CallMetrics
 {
 public:
     explicit CallMetrics(Metrics &metrics);
 
-    /// A call ended; an OK status is an answer of an endpoint.
+    /// Counts a call that has ended. An OK status means that an endpoint's answer was relayed.
     void noteEnded(const absl::Status &status, Duration taken);
 
-    /// The first of the answer went to the caller, so long after the call came.
+    /// Records the time from the arrival of a call to the first bytes of its answer.
     void noteFirstAnswer(Duration taken);
 
-    /// Tokens were set aside, or refused, after so long.
+    /// Records the time that it took to reserve tokens, or to be refused them.
     void noteReserved(Duration taken);
 
-    /// An endpoint was found, or the call refused, after so long in the queue.
+    /// Records the time in the queue until an endpoint was found or the call was refused.
     void notePlaced(Duration taken);
 
     void noteRefusedUnread();
-    /// An answer that had begun was broken off.
+
+    /// Counts an answer that was aborted after its head had been sent to the caller.
     void noteCutOff(const absl::Status &status);
+
     void noteAttemptFailed(AttemptEnd end);
 
-    /// A request was dropped since the way to its endpoint acknowledged nothing.
+    /// Counts a request that was dropped because its endpoint acknowledged none of its bytes.
     void noteHeldUp();
 
-    /// An endpoint asked for backoff, or for a longer one.
+    /// Counts a request of an endpoint for backoff, or for a longer backoff.
     void noteBackoff();
 
 private:
--- a/src/gateway/callprotocol.h
+++ b/src/gateway/callprotocol.h
@@ -11,61 +11,62 @@
 namespace RadishSwitch
 {
 
-/// What the fleet adds to a call when it sends it to an endpoint.
+/// What the gateway adds to a call when it sends the call to an endpoint.
 struct CallDispatch {
     EndpointId endpoint;
-    /// Empty for a caller without a key.
+    /// Empty if the caller sent no API key.
     OrganisationId organisation;
-    /// How long the endpoint may take.
+    /// How long the endpoint may take to answer.
     Duration timeLeft{};
-    /// 0 is the most urgent.
+    /// 0 is the highest priority.
     int priority = 0;
-    /// The event behind which a stream goes on.
+    /// The last event that the caller has received of a stream, which the endpoint continues behind it.
     std::optional<std::uint64_t> lastEvent;
 
     bool operator==(const CallDispatch &) const = default;
 };
 
-/// What the head of an endpoint's answer says.
+/// The contents of the head of an endpoint's answer.
 struct AnswerHead {
     int status = 0;
-    /// The call that it answers, where it says so.
+    /// The call that the endpoint answers, if the head names it.
     std::optional<RequestId> call;
-    /// Whether it bears the endpoint's mark.
+    /// Whether the head carries the signature of the endpoint.
     bool isSigned = false;
-    /// The endpoint has not run the call and won't.
+    /// The endpoint has not run the call and will not run it.
     bool isRefusal = false;
-    /// Another endpoint has the address by now.
+    /// The address now belongs to an endpoint other than the expected one.
     bool isOtherEndpoint = false;
-    /// What the endpoint says of itself.
+    /// What the endpoint announces about its own state: leaving, a call limit, or a backoff.
     EndpointNotice notice;
-    /// How long the endpoint keeps the connection open for more.
+    /// How long the endpoint keeps the idle connection open for further calls, if the head says so.
     std::optional<Duration> idleTimeout;
 
     bool operator==(const AnswerHead &) const = default;
 };
 
-/// How callers, the fleet and endpoints speak of a call in the headers of HTTP.
+/// The HTTP headers by which callers, gateways and endpoints exchange the properties of a call.
 class CallProtocol
 {
 public:
     virtual ~CallProtocol() = default;
 
-    /// InvalidRequest when the headers make no sense.
+    /// Reads the call from the headers; InvalidRequest if they are malformed.
     virtual absl::StatusOr<CallRequest> readCall(const HttpRequest &request) const = 0;
 
-    /// The id of a call, which may lack all else; empty when there is none.
+    /// The id of a call even if its other headers are invalid; empty if there is no id.
     virtual RequestId callId(const HttpRequest &request) const = 0;
 
-    /// The call as an endpoint gets it: the caller's method, target, body and own headers, without the caller's key.
+    /// The request for an endpoint: the caller's method, target, body and headers, without the caller's API key.
     virtual HttpRequest endpointCall(const HttpRequest &request, const CallDispatch &dispatch) const = 0;
 
     virtual AnswerHead readAnswer(int status, const HttpHeaders &headers) const = 0;
 
-    /// An endpoint's headers as the caller gets them.
+    /// The headers of an endpoint's answer that are forwarded to the caller.
     virtual HttpHeaders callerHeaders(const HttpHeaders &headers) const = 0;
 
-    /// The answer to a call that failed here. A status that promises "not run" is used only when the failure says so.
+    /// The answer to a call that failed at the gateway. An HTTP status that means "not run" is used only for failures
+    /// that guarantee it.
     virtual HttpResponse failure(const absl::Status &status) const = 0;
 };
 
--- a/src/gateway/callrelay.cpp
+++ b/src/gateway/callrelay.cpp
@@ -24,7 +24,7 @@
         co_return co_await endRefused(m_attempt, *head);
     }
     m_history.mayHaveRun = true;
-    // A failure can't be put behind events that the caller has already.
+    // An error status cannot be sent after events that the caller has already received.
     if (!head->isSigned || (m_hasStreamStarted && !isSuccess(head->status))) {
         co_return AttemptEnd::Broken;
     }
--- a/src/gateway/callservices.h
+++ b/src/gateway/callservices.h
@@ -17,47 +17,48 @@
 namespace RadishSwitch
 {
 
-/// How calls are served in time. Each span names the failure that it bounds.
+/// The timeouts, waits and latency factors by which calls are served.
 struct CallTimes {
-    /// Taken off the caller's patience: its call and our answer travel, and have to be read.
+    /// Subtracted from the timeout that the caller states, for the transfer of the call and of the answer.
     Duration networkAllowance = std::chrono::milliseconds(5);
-    /// Callers leave a stream that shows no first event for the longest of these: a time, and so many times the route's
-    /// target latency and its longest pause.
+    /// Callers disconnect from a stream without a first event after the longest of three times: this minimum, the
+    /// route's target latency times the latency factor, and the route's target gap between events times the gap factor.
     Duration minimumStreamPatience = std::chrono::seconds(2);
     double streamPatienceLatencyFactor = 4;
     double streamPatienceGapFactor = 8;
-    /// So long before that they are told. One that leaves closes its connection, and an endpoint that stands still
-    /// works on for nobody once it runs on.
+    /// The gateway refuses such a stream this long before its caller would disconnect. A disconnect that comes first
+    /// is noticed late by a stalled endpoint, which then goes on working for nobody.
     Duration streamPatienceMargin = std::chrono::milliseconds(40);
-    /// For a call that may run again another endpoint is looked for when the first of its answer is later than expected
-    /// by this many times its target latency.
+    /// If the answer of a repeatable call is later than expected by this many times the route's target latency, the
+    /// gateway looks for another endpoint.
     double lateAnswerLatencyFactor = 2;
-    /// The same for a stream that can be continued, when its next event is missing for so long. Callers give up after
-    /// two seconds.
+    /// If a resumable stream has had no event for this long, the gateway looks for another endpoint. Callers give up
+    /// after two seconds without an event.
     Duration eventSilenceTimeout = std::chrono::milliseconds(1200);
-    /// How soon another endpoint is looked for again while none can be had and the first goes on saying nothing.
+    /// How often the gateway looks again for another endpoint while none is available and the first stays silent.
     Duration successorRetryInterval = std::chrono::milliseconds(300);
-    /// How long two endpoints have a call whose answer comes whole, once the first was silent. A full endpoint refuses
-    /// within a few milliseconds; both at work on it for longer would be wasted work.
+    /// How long two endpoints may run the same unstreamed call after the first was silent. A full endpoint refuses
+    /// within a few milliseconds; a longer overlap would waste the work of one of them.
     Duration maximumOverlap = std::chrono::milliseconds(200);
-    /// How often the first is looked at while the second has not answered.
+    /// How often the gateway checks the first endpoint for an answer while it waits for the second.
     Duration successorPollInterval = std::chrono::milliseconds(50);
-    /// Connections to be used for a call that can't be sent again were idle for no longer: an endpoint that drops an
-    /// idle connection at that very moment leaves the call's outcome unknown.
+    /// Maximum idle time of a connection that is used for a call which cannot be repeated. If the endpoint closes the
+    /// idle connection while the call is being sent, the outcome of the call is unknown.
     Duration longestIdleOnce = std::chrono::milliseconds(1500);
+    /// Maximum idle time of a connection that is used for a repeatable call.
     Duration maximumIdle = std::chrono::seconds(60);
-    /// How long the body of a refusal may take.
+    /// How long the gateway waits for the body of an endpoint's refusal.
     Duration refusalBodyTimeout = std::chrono::milliseconds(200);
-    /// A call may wait in the queue for so many times its target latency.
+    /// Maximum time of a call in the queue, as a multiple of the route's target latency.
     double queueLatencyFactor = 1.5;
-    /// An answer that an endpoint takes longer for than this part of the target latency comes late, or nearly so: the
-    /// rest is for the ways and for waiting.
+    /// An unstreamed answer is considered late if its endpoint takes longer than this share of the target latency. The
+    /// remaining share is for the network and for the queue.
     double lateAnswerShare = 0.7;
-    /// Without a caller's or a route's word.
+    /// Deadline of a call until the timeouts of its caller and its route have been read.
     Duration defaultCallTimeout = std::chrono::seconds(30);
 };
 
-/// What every call of a gateway is served with. All of it belongs to one worker.
+/// The components that all calls of a gateway share. They are used on one worker only.
 struct CallServices {
     const CallProtocol &protocol;
     TimerService &timers;
@@ -70,7 +71,7 @@
     CallTimes times;
     CallMetrics &metrics;
     LogSampler &sampler;
-    /// Of lines of calls and attempts that failed.
+    /// Limits the log lines about failed calls and failed attempts.
     LogSampler &failureSampler;
     LinkShedder &link;
     PoisonGuard &poison;
--- a/src/gateway/callsuccessor.cpp
+++ b/src/gateway/callsuccessor.cpp
@@ -24,16 +24,16 @@
         && timeLeft() > Duration::zero();
 }
 
-// No wait is worth a pause where no further attempt can follow it.
+// If no further attempt is possible, there is nothing to do at a pause, so the wait lasts until the deadline.
 Duration Call::silenceTimeout(Duration wait) const
 {
     const bool mayBeReplaced = mayRunAgain() && m_history.sent < m_history.maximumAttempts;
     return mayBeReplaced ? limitToTimeLeft(wait) : remainingWait();
 }
 
-// An endpoint that says nothing may be at work: it reads long prompts, or has taken over the work of others. Left
-// before another one has taken the call, it would be an answer lost that was on its way. So it is kept until then, and
-// to the end where no other takes the call.
+// Tries to replace a silent endpoint by another one. A silent endpoint may still be working, for example on a long
+// prompt or on calls taken over from other endpoints, and dropping it early could lose an answer that is on its way.
+// Its connection is therefore kept until another endpoint has taken the call, or to the deadline if none does.
 net::awaitable<bool> Call::findSuccessor()
 {
     m_services.gate.noteSilent(m_attempt.placement.id);
@@ -49,7 +49,7 @@
         co_return true;
     }
     if (m_furtherAttempt != FurtherAttempt::Granted && !std::exchange(m_attempt.isSilenceLogged, true)) {
-        kLog.info("endpoint silent",
+        kLog.info("endpoint silent and no further attempt possible, still waiting for it",
                   {field("call", m_request.id.value()), field("endpoint", m_attempt.placement.endpoint.value()),
                    field("events", m_eventCutter.count()), field("silent_for", silenceDuration(m_attempt)),
                    field("further_attempt", furtherAttemptName(*m_furtherAttempt)), field("time_left", timeLeft())});
@@ -80,8 +80,9 @@
     co_return true;
 }
 
-// The first has answered, or its caller has left, while the second was being connected to. For how long the second's
-// connection was idle is not known any more, so that no other call could rely on it.
+// The first endpoint has answered, or the caller has disconnected, while the connection to the second endpoint was
+// being established. That connection is closed, because its idle time is no longer known and no other call could rely
+// on it.
 void Call::cancelSuccessor()
 {
     m_successor->connection->close();
@@ -90,8 +91,10 @@
     m_successor.reset();
 }
 
-// An endpoint that hangs takes a call like one that is at work, so that only an answer tells. Until there is one the
-// first is looked at in between; its answer, should it come sooner, is the one to have.
+// Returns true if the second endpoint is to replace the first. A hanging endpoint accepts a call like a working one, so
+// that only an answer shows the difference. Until the second endpoint answers, the gateway also checks the first at
+// intervals; if the first answers sooner, its answer is used. If neither answers within the overlap, the second
+// endpoint replaces the first.
 net::awaitable<bool> Call::awaitSuccessorAnswer()
 {
     const Instant end = m_services.timers.now() + overlapTimeout();
@@ -124,8 +127,8 @@
     co_return true;
 }
 
-// A stream begins with its head: until then only one endpoint has begun to answer. Where an answer comes whole, both
-// may work on it all the while.
+// How long both endpoints may run the call. A stream starts with its head, so the second endpoint shows early that it
+// has started. For an unstreamed answer both endpoints could work on it in parallel all the time, which is bounded.
 Duration Call::overlapTimeout() const
 {
     return m_route->isStreamed ? remainingWait() : limitToTimeLeft(m_services.times.maximumOverlap);
@@ -145,7 +148,7 @@
 void Call::dropUnansweredSuccessor()
 {
     m_history.mayHaveRun = true;
-    // It had little time to answer, which is no failure of its endpoint.
+    // The second endpoint had little time to answer, so this does not count as its failure.
     m_services.gate.noteEnded(m_successor->placement.id, RunEnd::Cancelled);
     dropSuccessor(AttemptEnd::Silent);
 }
--- a/src/gateway/configurationlistener.cpp
+++ b/src/gateway/configurationlistener.cpp
@@ -27,7 +27,7 @@
 
 void ConfigurationListener::objectsChanged(const std::vector<StoredObject> &objects)
 {
-    // When several versions come at once, only the last is read: reading one takes milliseconds on a small instance.
+    // If several versions arrive at once, only the newest is parsed, since this takes milliseconds on a small instance.
     const StoredObject *newest = nullptr;
     for (const StoredObject &object : objects) {
         if (m_catalogue.isConfiguration(object) && (!newest || object.version >= newest->version)) {
@@ -39,7 +39,7 @@
     }
     absl::StatusOr<ServingConfiguration> configuration = m_catalogue.readConfiguration(*newest);
     if (!configuration.ok()) {
-        kLog.error("unreadable, the last good one stays in force",
+        kLog.error("configuration unreadable, the previous one stays in force",
                    {field("revision", newest->version), field("error", std::string(configuration.status().message()))});
         return;
     }
--- a/src/gateway/configurationlistener.h
+++ b/src/gateway/configurationlistener.h
@@ -9,8 +9,8 @@
 namespace RadishSwitch
 {
 
-/// Keeps the newest configuration that can be read. Its version only ever grows: a store that answers from before must
-/// not bring back what was taken out of force.
+/// Keeps the newest readable configuration. An older version never replaces a newer one, so that a store with stale
+/// answers cannot bring back a configuration that has been superseded.
 class ConfigurationListener : public ObjectListener
 {
 public:
@@ -21,7 +21,7 @@
     void objectsListed(const std::vector<StoredObject> &objects) override;
     void objectsChanged(const std::vector<StoredObject> &objects) override;
 
-    /// Null before any is known.
+    /// Null until the first configuration has been read.
     const ServingTablePointer &table() const
     {
         return m_table;
--- a/src/gateway/cordonlistener.cpp
+++ b/src/gateway/cordonlistener.cpp
@@ -29,7 +29,7 @@
         }
     }
     m_gate.setClosedZones(zones);
-    kLog.info("listed", {field("closed", absl::StrJoin(m_gate.registry().cordons().closedZones(), ","))});
+    kLog.info("cordons listed", {field("closed", absl::StrJoin(m_gate.registry().cordons().closedZones(), ","))});
 }
 
 void CordonListener::objectsChanged(const std::vector<StoredObject> &objects)
@@ -46,10 +46,10 @@
         return;
     }
     if (object.version == 0) {
-        kLog.warning("opened", {field("zone", *zone)});
+        kLog.warning("zone reopened", {field("zone", *zone)});
         return m_gate.openZone(*zone);
     }
-    kLog.warning("closed", {field("zone", *zone), field("revision", object.version)});
+    kLog.warning("zone closed", {field("zone", *zone), field("revision", object.version)});
     m_gate.closeZone(*zone);
 }
 
@@ -57,7 +57,7 @@
 {
     const absl::StatusOr<std::string> zone = m_catalogue.cordonedZoneOf(object.key);
     if (!zone.ok()) {
-        kLog.error("an order can't be read",
+        kLog.error("unreadable cordon ignored",
                    {field("error", std::string(zone.status().message())), field("revision", object.version)});
         return std::nullopt;
     }
--- a/src/gateway/cordonlistener.h
+++ b/src/gateway/cordonlistener.h
@@ -11,7 +11,7 @@
 namespace RadishSwitch
 {
 
-/// Brings operators' orders that zones get no new calls to the gate.
+/// Passes cordons to the call gate: orders of operators that an availability zone receives no new calls.
 class CordonListener : public ObjectListener
 {
 public:
--- a/src/gateway/crashprobe.cpp
+++ b/src/gateway/crashprobe.cpp
@@ -15,9 +15,9 @@
 namespace
 {
 
-/// A process that ends closes its connections and its listener one after the other.
+/// Wait before the probe: a process that ends closes its connections first and its listening socket a little later.
 constexpr Duration kSettleDelay = std::chrono::milliseconds(20);
-/// A refusal comes back as fast as any packet; a lost one is sent again after a second.
+/// Bounds the connection attempt. A refusal arrives within a round trip; TCP repeats a lost packet after one second.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(1300);
 
 }
--- a/src/gateway/crashprobe.h
+++ b/src/gateway/crashprobe.h
@@ -14,16 +14,17 @@
 namespace RadishSwitch
 {
 
-/// Tells an endpoint that has crashed from a connection that broke, and from one that is silent: the address of a
-/// process that has ended refuses connections at once.
+/// Tells a crashed endpoint from a broken connection and from a silent endpoint. The address of a process that has
+/// ended refuses connections at once.
 class CrashProbe
 {
 public:
-    /// `onCrashed` hears of each endpoint that has crashed, before those who asked.
+    /// `onCrashed` is called for each crashed endpoint, before the callbacks given to `notifyIfCrashed`.
     CrashProbe(WorkerPool &workers, TimerService &timers, EndpointConnections &connections,
                std::function<void(const EndpointIncarnation &)> onCrashed);
 
-    /// Calls back if the endpoint has crashed, else never. One connection at a time is tried for all who ask.
+    /// Calls back if the endpoint has crashed, and otherwise never. Concurrent requests for the same incarnation share
+    /// one connection attempt.
     void notifyIfCrashed(const EndpointIncarnation &incarnation, const std::string &address,
                          std::function<void()> callback);
 
--- a/src/gateway/crashreports.cpp
+++ b/src/gateway/crashreports.cpp
@@ -21,18 +21,19 @@
 constexpr std::string_view kBarredRequestPrefix = "news/crash.barred.";
 constexpr char kEmptyObject[] = "{}";
 
-/// The calls of one crash break off within this, and are written together.
+/// The calls that one crash interrupts fail within this time and are written as one report.
 constexpr Duration kBatchWindow = std::chrono::milliseconds(50);
 constexpr Duration kInitialRetryDelay = std::chrono::milliseconds(100);
-/// After an outage the others know within this.
+/// After an outage of the store, the other gateways receive pending reports within this time.
 constexpr Duration kMaximumRetryDelay = std::chrono::milliseconds(1600);
-/// Tries of some ten minutes, for as long as a crash is remembered.
+/// About ten minutes of attempts, which is the retention period of a crash.
 constexpr int kMaximumAttempts = 400;
-/// All gateways bar a request at about the same time, and one of them need write it.
+/// All gateways bar a request at about the same time. Random delays up to this let one of them write it first, so that
+/// the others need not.
 constexpr Duration kBarredWriteSpread = std::chrono::seconds(1);
-/// A request that crashed endpoints is remembered for so long.
+/// How long a request that crashed endpoints is remembered.
 constexpr Duration kRetention = std::chrono::minutes(10);
-/// Gateways that have known an object equally long do not all remove it at once.
+/// Random delay before an expired object is removed, so that not all gateways remove it at once.
 constexpr Duration kRemovalSpread = std::chrono::minutes(2);
 
 std::optional<RequestFingerprint> barredRequest(const std::string &key)
@@ -60,7 +61,7 @@
 
 void CrashReports::addCrashed(const CrashedRun &run)
 {
-    kLog.info("endpoint crashed under a request",
+    kLog.info("endpoint crashed while running a request",
               {field("endpoint", run.incarnation.endpoint.value()), field("content", run.request.toString()),
                field("crashes", m_detector.crashes(run.request) + 1)});
     add({{run}, {}});
@@ -68,7 +69,7 @@
 
 void CrashReports::addAnswered(const RequestFingerprint &request)
 {
-    kLog.info("request answered whole after crashes",
+    kLog.info("request answered completely after earlier crashes",
               {field("content", request.toString()), field("crashes", m_detector.crashes(request))});
     const std::string key = std::string(kBarredRequestPrefix) + request.toString();
     if (const auto barred = m_known.find(key); barred != m_known.end()) {
@@ -100,12 +101,13 @@
 void CrashReports::write(const std::string &key, const std::string &value, int failures)
 {
     m_store.put(key, value, 0, [=, this, alive = std::weak_ptr<int>(m_alive)](const absl::StatusOr<std::uint64_t> &at) {
-        // An object that is there already was written by an earlier try whose answer was lost, or by another gateway.
+        // A version conflict means that the object exists: it was written by an earlier attempt whose answer was lost,
+        // or by another gateway.
         if (alive.expired() || at.ok() || failureCode(at.status()) == FailureCode::VersionConflict) {
             return;
         }
         const bool isLast = failures + 1 >= kMaximumAttempts;
-        kLog.warning(isLast ? "not written, given up" : "not written",
+        kLog.warning(isLast ? "report not written, giving up" : "report not written, retrying",
                      {field("key", key), field("error", std::string(at.status().message()))});
         if (isLast) {
             return;
@@ -163,7 +165,7 @@
     }
     const absl::StatusOr<CrashReport> report = readCrashReport(object.value);
     if (!report.ok()) {
-        kLog.error("a report can't be read",
+        kLog.error("unreadable crash report ignored",
                    {field("key", object.key), field("error", std::string(report.status().message()))});
         return;
     }
@@ -209,7 +211,8 @@
             known.removeAt = now + jitter(kRemovalSpread);
             m_store.remove(key, known.version, [key = key](const absl::Status &status) {
                 if (!status.ok() && failureCode(status) != FailureCode::ObjectMissing) {
-                    kLog.warning("not removed", {field("key", key), field("error", std::string(status.message()))});
+                    kLog.warning("expired object could not be removed",
+                                 {field("key", key), field("error", std::string(status.message()))});
                 }
             });
         }
--- a/src/gateway/crashreports.h
+++ b/src/gateway/crashreports.h
@@ -13,12 +13,12 @@
 namespace RadishSwitch
 {
 
-/// Keys of the objects by which gateways tell one another of crashes and of barred requests. Each is written once and
-/// never changed.
+/// Key prefix of the objects by which gateways exchange crash reports and barred requests. Each object is written once
+/// and never changed.
 inline constexpr char kCrashPrefix[] = "news/crash.";
 
-/// Brings what the gateways of the fleet know of crashes together, through the platform's store: whoever reaches it
-/// knows the same, also after a restart or a cut.
+/// Shares crash reports among the gateways through the platform's store. Every gateway that can reach the store has the
+/// same reports, also after a restart or a network partition.
 class CrashReports : public ObjectListener
 {
 public:
@@ -26,11 +26,12 @@
                  PoisonDetector &detector);
     ~CrashReports() override;
 
-    /// Holds here at once, and elsewhere as soon as it is written.
+    /// The report takes effect in this gateway at once, and in the others once it is written to the store.
     void addCrashed(const CrashedRun &run);
+    /// As `addCrashed`, for a request with earlier crashes that an endpoint has now answered completely.
     void addAnswered(const RequestFingerprint &request);
 
-    /// Removes what is remembered no longer.
+    /// Removes objects from the store whose retention period is over.
     void removeExpired();
 
     void objectsListed(const std::vector<StoredObject> &objects) override;
@@ -56,12 +57,12 @@
     RandomSource &m_random;
     const std::string m_instance;
     PoisonDetector &m_detector;
-    /// What is not written yet, and the key that it will have.
+    /// The report that is not written yet, and the key that it will have in the store.
     CrashReport m_pending;
     std::string m_pendingKey;
     TimerId m_timer = 0;
     std::map<std::string, Known> m_known;
-    /// Keys of this process's own reports that have not come back from the store yet.
+    /// Keys of this gateway's own reports that the watch of the store has not returned yet.
     std::set<std::string> m_ownReports;
     std::shared_ptr<int> m_alive = std::make_shared<int>(0);
 };
--- a/src/gateway/endpointconnections.cpp
+++ b/src/gateway/endpointconnections.cpp
@@ -20,7 +20,7 @@
     const Clock::time_point now = Clock::now();
     std::vector<Idle> &idle = it->second;
     while (!idle.empty()) {
-        // The one that was used last is the least likely to have been dropped by the endpoint meanwhile.
+        // The most recently used connection is the least likely to have been closed by the endpoint.
         const Idle last = idle.back();
         if (now - last.since > maximumIdle) {
             return nullptr;
--- a/src/gateway/endpointconnections.h
+++ b/src/gateway/endpointconnections.h
@@ -12,20 +12,21 @@
 {
 
 struct EndpointConnectionSettings {
-    /// A dark endpoint must cost a call less than its target latency. A new connection takes two ways through the
-    /// network and a millisecond at the endpoint.
+    /// Bounds the establishment of a connection. An unreachable endpoint must delay a call by less than its target
+    /// latency. A connection normally takes one network round trip and one millisecond at the endpoint.
     Duration connectTimeout = std::chrono::milliseconds(150);
-    /// Kept open for more, where the endpoint does not say for how long it keeps it.
+    /// How long an idle connection is kept if the endpoint does not state its own idle timeout.
     Duration idleTimeout = std::chrono::seconds(4);
-    /// Taken off what an endpoint says, for the way of a call to it.
+    /// Subtracted from the idle timeout that an endpoint states, for the transfer of the next call.
     Duration idleMargin = std::chrono::milliseconds(500);
-    /// A held-up request is dropped before an endpoint that leaves would get it too late.
+    /// How long sent bytes may stay unacknowledged. A held-up request is dropped early, so that it does not reach an
+    /// endpoint that is leaving too late to be served.
     SilenceLimits silenceLimits{.unacknowledged = std::chrono::milliseconds(1000),
                                 .heldUpRequest = std::chrono::milliseconds(600),
                                 .probeInterval = std::chrono::seconds(1)};
 };
 
-/// The idle connections to endpoints, by the life of the endpoint to which each was made. Used on one worker.
+/// The pool of idle connections to endpoints. It is used on one worker only.
 class EndpointConnections
 {
 public:
@@ -33,10 +34,10 @@
 
     explicit EndpointConnections(WorkerPool &workers, EndpointConnectionSettings settings = {});
 
-    /// The idle connection that was used last, if it is sound and was idle for no longer than `maximumIdle`; or null.
+    /// The most recently used idle connection if it is still usable and was idle for at most `maximumIdle`; else null.
     ConnectionPointer takeIdle(const EndpointId &endpoint, Duration maximumIdle);
 
-    /// A new connection, not yet made.
+    /// A new connection that is not established yet.
     ConnectionPointer create(const std::string &address);
 
     Duration connectTimeout() const
@@ -44,14 +45,15 @@
         return m_settings.connectTimeout;
     }
 
-    /// Takes a connection back after an answer that was read whole. `idleTimeout` is what the endpoint said.
+    /// Takes a connection back after its answer was read completely. `idleTimeout` is the time that the endpoint
+    /// stated.
     void giveBack(const EndpointId &endpoint, const ConnectionPointer &connection, std::optional<Duration> idleTimeout);
 
-    /// Closes the idle connections to an endpoint. Something on the way may have lost track of them, or the endpoint is
-    /// gone; each would cost a call its whole wait.
+    /// Closes the idle connections to an endpoint. A device on the network path may have dropped their state, or the
+    /// endpoint has ended; each of them could delay a call by its whole timeout.
     void forget(const EndpointId &endpoint);
 
-    /// Closes connections that were idle for too long, and forgets endpoints without any.
+    /// Closes connections whose idle timeout has passed, and removes endpoints without connections.
     void closeExpired();
 
     std::size_t idleCount() const;
--- a/src/gateway/endpointlistener.cpp
+++ b/src/gateway/endpointlistener.cpp
@@ -12,10 +12,10 @@
 
 const Log kLog("endpoints");
 
-/// Entries that can't be read and were told of, at most.
+/// Maximum number of unreadable entries that are logged; bounds the memory for their keys.
 constexpr std::size_t kMaximumLoggedEntries = 1000;
 
-/// Longest time for which an endpoint that says so is taken for cold.
+/// Maximum time for which an endpoint is treated as cold, whatever its entry states.
 constexpr Duration kMaximumColdTime = std::chrono::seconds(60);
 
 }
@@ -37,7 +37,7 @@
             listings.push_back(std::move(*listing));
         }
     }
-    kLog.info("listed", {field("endpoints", listings.size())});
+    kLog.info("endpoints listed", {field("endpoints", listings.size())});
     for (const EndpointId &endpoint : m_gate.registry().replaceAll(listings, m_timers.now())) {
         handleRestart(endpoint);
     }
@@ -56,10 +56,11 @@
 {
     const EndpointId endpoint = m_catalogue.endpointOf(object.key);
     if (object.version == 0) {
-        kLog.info("gone from the list", {field("endpoint", endpoint.value())});
+        kLog.info("endpoint removed from the list", {field("endpoint", endpoint.value())});
         return unlist(endpoint);
     }
-    // An entry that another process has overwritten names no endpoint to use, until the endpoint writes it again.
+    // An unreadable entry, for example one overwritten by another process, removes the endpoint until it writes the
+    // entry again.
     const std::optional<EndpointListing> listing = read(object);
     listing ? applyListing(*listing, object.version) : unlist(endpoint);
 }
@@ -68,14 +69,14 @@
 {
     const ListingOutcome outcome = m_gate.registry().list(listing, m_timers.now());
     if (outcome == ListingOutcome::Outdated) {
-        kLog.info("news of an earlier life ignored",
+        kLog.info("entry of an earlier incarnation ignored",
                   {field("endpoint", listing.id.value()), field("born_at_ms", listing.startedAtMilliseconds)});
         return;
     }
     if (outcome == ListingOutcome::Restarted) {
         handleRestart(listing.id);
     }
-    kLog.info(listing.isLeaving ? "leaving" : "listed",
+    kLog.info(listing.isLeaving ? "endpoint leaving" : "endpoint listed",
               {field("endpoint", listing.id.value()), field("pool", listing.pool.value()),
                field("address", listing.address), field("born_at_ms", listing.startedAtMilliseconds),
                field("cold_for", listing.coldFor), field("revision", revision)});
@@ -84,7 +85,7 @@
     }
 }
 
-// Connections to the earlier life lead nowhere, or to a process that knows nothing of them.
+// Idle connections to the earlier incarnation are unusable and have to be closed.
 void EndpointListener::handleRestart(const EndpointId &endpoint)
 {
     kLog.info("started again", {field("endpoint", endpoint.value())});
@@ -97,11 +98,11 @@
     m_onUnlisted(endpoint);
 }
 
-// An endpoint that says it is cold for an hour would hardly be used for as long.
+// Without the bound, an endpoint that states a cold time of an hour would hardly receive calls during that hour.
 void EndpointListener::limitColdTime(EndpointListing &listing)
 {
     if (listing.coldFor > kMaximumColdTime) {
-        kLog.error("impossible cold time, bounded",
+        kLog.error("cold time exceeds the maximum and is reduced to it",
                    {field("endpoint", listing.id.value()), field("cold_for", listing.coldFor)});
         listing.coldFor = kMaximumColdTime;
     }
@@ -115,9 +116,9 @@
         limitColdTime(*listing);
         return std::move(*listing);
     }
-    // Whoever writes such entries may do so with each heartbeat: one line for each is enough.
+    // The writer of an unreadable entry may write it again with each heartbeat, so each key is logged only once.
     if (m_loggedUnreadable.size() < kMaximumLoggedEntries && m_loggedUnreadable.insert(object.key).second) {
-        kLog.error("an entry can't be read",
+        kLog.error("unreadable endpoint entry ignored",
                    {field("error", std::string(listing.status().message())), field("revision", object.version)});
     }
     return std::nullopt;
--- a/src/gateway/endpointlistener.h
+++ b/src/gateway/endpointlistener.h
@@ -11,11 +11,11 @@
 namespace RadishSwitch
 {
 
-/// Brings the platform's list of endpoints into the gate's registry.
+/// Copies the platform's list of endpoints into the registry of the call gate.
 class EndpointListener : public ObjectListener
 {
 public:
-    /// `onUnlisted` hears of endpoints that take no new calls any more.
+    /// `onUnlisted` is called for endpoints that left the list, are leaving, or have restarted.
     EndpointListener(const ServingCatalogue &catalogue, CallGate &gate, TimerService &timers,
                      std::function<void(const EndpointId &)> onUnlisted);
 
@@ -34,7 +34,7 @@
     CallGate &m_gate;
     TimerService &m_timers;
     const std::function<void(const EndpointId &)> m_onUnlisted;
-    /// Keys of entries that can't be read and were told of.
+    /// Keys of unreadable entries that have been logged.
     absl::flat_hash_set<std::string> m_loggedUnreadable;
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -18,11 +18,11 @@
 const Log kLog("process");
 
 constexpr Duration kMaintenanceInterval = std::chrono::seconds(2);
-/// Processes that start for the first time have announced themselves within this.
+/// On the fleet's first start all processes have announced themselves within this time.
 constexpr Duration kFirstAnnouncementDelay = std::chrono::seconds(1);
-/// Longer than any call lasts.
+/// A reservation at another home expires after this time, which is longer than any call.
 constexpr Duration kReservationExpiry = std::chrono::seconds(20);
-/// Kept back from the drain timeout: portions are given back, and the process ends, before it would be killed.
+/// Subtracted from the drain timeout, so that portions are returned and the process ends before it would be killed.
 constexpr Duration kStopReserve = std::chrono::milliseconds(400);
 
 }
@@ -157,7 +157,7 @@
         updateGauges();
     });
     m_relayedStore.setDetourCallback([](bool isDetour) {
-        kLog.warning(isDetour ? "store read through a home" : "store read directly again", {});
+        kLog.warning(isDetour ? "store unreachable, reading it through a home" : "store read directly again", {});
     });
     follow(m_configurationFollower, m_adapter.catalogue->configurationPrefix());
     follow(m_endpointFollower, m_adapter.catalogue->endpointPrefix());
@@ -174,8 +174,8 @@
     });
 }
 
-// On the fleet's first start all announce themselves at once. One that listed the others sooner would know few of them,
-// and watch the store itself.
+// On the fleet's first start all processes announce themselves at once. A gateway that listed its peers earlier would
+// find few of them, and would watch the store itself instead of through a peer.
 void Gateway::followPeers()
 {
     m_timers.after(m_settings.isFirstStart ? kFirstAnnouncementDelay : Duration::zero(), [this] {
@@ -183,13 +183,13 @@
     });
 }
 
-// Where no zone is ever closed the watch would only cost.
+// On a platform without cordons the watch would only cost calls to the store.
 bool Gateway::followsCordons() const
 {
     return m_settings.cordonBound > Duration::zero();
 }
 
-// One that does not know the orders yet would send calls into a zone that is closed.
+// A gateway that does not know the cordons yet would send calls into a closed zone.
 bool Gateway::isServing() const
 {
     const bool knowsCordons = !followsCordons() || m_gate.registry().cordons().isKnown();
@@ -228,7 +228,7 @@
 void Gateway::logDroppedLines()
 {
     if (const int n = m_failureSampler.takeDroppedCount(); n > 0) {
-        kLog.warning("lines of failures left out", {field("lines", n)});
+        kLog.warning("log lines about failed calls dropped", {field("lines", n)});
     }
 }
 
@@ -288,8 +288,8 @@
 
 boost::asio::awaitable<void> Gateway::serve(HttpExchange &exchange)
 {
-    // All gateways start at once after a loss of power. One that does not know the others yet would take portions of
-    // every budget, all at once with them: 1,600 calls to the store within six seconds, measured.
+    // After a power loss all gateways start at once. Gateways that do not know their peers yet would all take portions
+    // of every budget at the same time; 1,600 calls to the store within six seconds were measured.
     Call call(m_services, exchange, isServing() ? m_configuration.table() : nullptr);
     co_await call.run();
 }
@@ -312,8 +312,9 @@
     });
 }
 
-// Portions go back at once and not when the last call has ended: seconds later this gateway may be cut off, and what it
-// holds then is lost to its budgets. Calls that still come are reserved for at the next homes.
+// Returns portions at the start of the drain instead of after the last call. Seconds later the gateway may be cut off
+// from the store, and the portions that it holds would be lost to their budgets. Calls that still arrive reserve their
+// tokens at the next homes.
 void Gateway::releaseBudgets()
 {
     m_homes.leave();
@@ -328,7 +329,8 @@
     });
 }
 
-// A stream from before the order may keep its connection open, and bring the next call on it, until the stop's end.
+// A stream that started before the drain may keep its connection open, and the next call may arrive on that connection
+// at any time until the end of the drain. The intake refuses such calls.
 void Gateway::stopAccepting()
 {
     m_intake.stop();
@@ -348,7 +350,7 @@
     if (m_arePortionsReturned) {
         return completeDrain();
     }
-    // The store's answer is not waited for beyond the reserve.
+    // The gateway waits for the answer of the store for at most half of the reserve.
     m_timers.after(kStopReserve / 2, [this] {
         completeDrain();
     });
@@ -362,9 +364,9 @@
     }
 }
 
-// A portion that ends with a process that does not reach the store is lost to its budget for good. Others of the fleet
-// can still be reached, and one of them will reach the store later. Two are told, in case one of them stops as well;
-// the portion goes back once.
+// Hands the portions to peers while the store is unreachable. A portion held by a process that ends without reaching
+// the store is lost to its budget for good, whereas a reachable peer can return it later. Two peers are told, in case
+// one of them stops as well; the portion is returned only once.
 void Gateway::handOverPortions()
 {
     constexpr std::size_t kRecipients = 2;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -33,21 +33,22 @@
 namespace RadishSwitch
 {
 
-/// One gateway process: takes callers' calls and sends them straight to endpoints.
+/// A gateway process, which accepts calls from callers and sends them directly to endpoints.
 ///
-/// Everything runs on one worker. A gateway has a fraction of one core, and each decision takes microseconds: locks
-/// would cost more than they could win.
+/// Everything runs on one worker. A gateway has a fraction of a core and each decision takes microseconds, so that more
+/// threads and their locks would cost more than they gain.
 class Gateway
 {
 public:
     explicit Gateway(GatewaySettings settings);
     ~Gateway();
 
-    /// Opens all doors. The errors of listening.
+    /// Opens all listening sockets and starts the worker. Returns the error of the first socket that fails.
     absl::Status start();
 
-    /// Planned stop: not ready at once, taking calls until the balancer has noticed, then everything in progress
-    /// finished and the portions of budgets given back. Calls back when all is done, or the drain timeout has passed.
+    /// Planned stop. The gateway reports that it is not ready at once, accepts calls until the load balancer has had
+    /// time to notice, then finishes the calls in progress and returns its portions of budgets. Calls back when all
+    /// this is done, or when the drain timeout is nearly over.
     void drain(std::function<void()> callback);
 
     WorkerPool &workers()
@@ -60,10 +61,10 @@
 
 private:
     void startOnWorker();
-    /// Whether the store itself does not answer this gateway.
+    /// Whether the store does not answer this gateway directly; a home may still relay it.
     bool isStoreUnreachable() const;
     bool followsCordons() const;
-    /// Whether it knows all that calls are served by.
+    /// Whether the gateway knows everything needed to serve calls: configuration, endpoints, peers and cordons.
     bool isServing() const;
     void handlePeers(const std::map<std::string, FleetPeer> &peers);
     void runMaintenance();
@@ -123,11 +124,11 @@
     Http2MessageServer m_peerServer;
     HttpServer m_server;
     AdminServer m_admin;
-    /// The same on an address of its own, where one is set.
+    /// The same pages on a separate address, if one is set.
     AdminServer m_metricsServer;
     std::function<void()> m_onDrained;
     bool m_isStopping = false;
-    /// All calls have ended, or are waited for no longer.
+    /// All calls have ended, or the drain timeout is nearly over.
     bool m_isStopComplete = false;
     bool m_arePortionsReturned = false;
 };
--- a/src/gateway/gatewayadapter.h
+++ b/src/gateway/gatewayadapter.h
@@ -10,14 +10,14 @@
 namespace RadishSwitch
 {
 
-/// Where a gateway meets its platform: names, formats and calls.
+/// The platform's implementations of the interfaces that a gateway uses.
 struct GatewayAdapter {
     std::unique_ptr<ObjectStore> store;
     std::unique_ptr<ServingCatalogue> catalogue;
     std::unique_ptr<CallProtocol> protocol;
 };
 
-/// The adapter that this build is for.
+/// Creates the adapter for the platform that this program is built for.
 GatewayAdapter makeGatewayAdapter(WorkerPool &workers, const FleetStoreSettings &settings);
 
 }
--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -22,18 +22,23 @@
 void addPlacementSettings(SettingsParser &parser, PlacementSettings &settings)
 {
     parser.addNumber("read-tokens-per-second", settings.prefillTokensPerSecond, kMinimumPrefillSpeed,
-                     kMaximumPrefillSpeed, "speed at which an engine reads prompts, until its answers have told it");
-    parser.addNumber("reread-factor", settings.rereadFactor, 0, kMaximumRereadFactor,
-                     "what a token that another engine has read already costs beyond its time");
-    parser.addNumber("delay-step", settings.delayStep, 0, 1, "weight of a new delay in an endpoint's average");
-    parser.add("zone-distance", settings.zoneDistance, "added for an endpoint of another availability zone");
-    parser.add("full-batch", settings.fullBatch, "added for an endpoint with all slots in use, in proportion");
+                     kMaximumPrefillSpeed,
+                     "prefill speed of endpoints in tokens per second, until it is learnt from their answers");
+    parser.addNumber(
+        "reread-factor", settings.rereadFactor, 0, kMaximumRereadFactor,
+        "weight of a token of a shared prefix that is not in the cache of the endpoint, on top of its prefill time");
+    parser.addNumber("delay-step", settings.delayStep, 0, 1,
+                     "weight of a new delay in the moving average of an endpoint");
+    parser.add("zone-distance", settings.zoneDistance, "latency added for an endpoint in another availability zone");
+    parser.add("full-batch", settings.fullBatch,
+               "latency added for an endpoint at its in-flight limit, in proportion to its calls in flight");
     parser.addNumber("least-limit", settings.minimumLimit, 1, kMaximumLimit,
-                     "calls that an endpoint may have under way, however often it refuses");
+                     "lower bound of the in-flight limit of an endpoint that refuses calls");
     parser.addNumber("ejected-share", settings.ejection.ejectedShare, 0, 1,
-                     "share of a pool that may be left out for its failures; 0 for none");
-    parser.addFlag("no-speed-learning", settings.hasFixedSpeed, "keep to the reading speed that is set");
-    parser.addFlag("no-affinity", settings.hasNoAffinity, "do not send calls with a shared part to one endpoint");
+                     "maximum share of a pool that may be ejected for failures; 0 for none");
+    parser.addFlag("no-speed-learning", settings.hasFixedSpeed,
+                   "keep the prefill speed as set instead of learning it from answers");
+    parser.addFlag("no-affinity", settings.hasNoAffinity, "disable prefix affinity between calls and endpoints");
 }
 
 }
@@ -55,30 +60,34 @@
 void addGatewaySettings(SettingsParser &parser, GatewaySettings &settings)
 {
     addFleetSettings(parser, settings);
-    parser.add("listen", settings.listen, "where callers come in");
-    parser.add("drain-notice", settings.drainNotice, "how long it goes on taking calls after it was told to stop");
-    parser.add("change-bound", settings.changeBound, "within this a change in the store has to be in force");
+    parser.add("listen", settings.listen, "address at which calls are accepted");
+    parser.add("drain-notice", settings.drainNotice, "how long calls are still accepted after the start of a drain");
+    parser.add("change-bound", settings.changeBound, "maximum time until a change in the store takes effect");
     parser.add("zone-regions", settings.zoneRegions, "regions by their availability zones: \"north=east,south=east\"");
     parser.addCheck([&settings] {
         return parseZoneRegions(settings.zoneRegions).status();
     });
     parser.add("cordon-bound", settings.cordonBound,
-               "within this an order that a zone gets no new calls has to be in force; 0ms for no such orders");
+               "maximum time until a cordoned zone receives no new calls; 0ms if the platform has no cordons");
     parser.addNumber("cold-overshoot", settings.allowances.overshoot, kMinimumColdOvershoot, kMaximumColdOvershoot,
-                     "times what a cold endpoint is said to bear that all gateways together may send it");
+                     "multiple of its limit that all gateways together may send to a cold endpoint");
     parser.addNumber("watch-share", settings.watchShare, kMinimumWatchShare, 1,
-                     "share of the change bound that a watch without news waits");
-    parser.add("longest-hold", settings.longestHold, "how long callers wait unread for the first configuration");
+                     "share of the change bound after which a watch without changes is renewed");
+    parser.add("longest-hold", settings.longestHold,
+               "how long connections stay unaccepted until the first configuration is known");
     parser.add("longest-idle-once", settings.longestIdleOnce,
-               "connections for calls that can't be sent again were idle for no longer");
-    parser.addFlag("watch-alone", settings.watchesAlone, "watch the store itself, and not through another gateway");
-    parser.addFlag("ignore-homes", settings.ignoresHomes, "let gateways be the homes of budgets");
+               "maximum idle time of a connection for a call that cannot be repeated");
+    parser.addFlag("watch-alone", settings.watchesAlone, "watch the store directly instead of through another gateway");
+    parser.addFlag("ignore-homes", settings.ignoresHomes,
+                   "use gateways instead of home processes as the homes of budgets");
     parser.addNumber("retry-bound", settings.retryBound, 0, 1,
-                     "further attempts that all gateways together may make for each first one");
-    parser.addNumber("retry-burst", settings.retryBurst, 0, kMaximumRetries, "further attempts that may be saved up");
-    parser.addFlag("take-all-calls", settings.takesAllCalls, "refuse no call for want of processor time");
-    parser.add("shed-target", settings.shedding.target, "how late the process may run and still take every call");
-    parser.addFlag("ignore-pressure", settings.ignoresPressure, "send calls also where endpoints answer late already");
+                     "maximum number of retries per first attempt, over all gateways");
+    parser.addNumber("retry-burst", settings.retryBurst, 0, kMaximumRetries,
+                     "unused retries that a gateway may accumulate for a pool");
+    parser.addFlag("take-all-calls", settings.takesAllCalls, "never refuse calls because of overload");
+    parser.add("shed-target", settings.shedding.target, "queueing delay up to which every call is accepted");
+    parser.addFlag("ignore-pressure", settings.ignoresPressure,
+                   "send calls to endpoints even if these already answer late");
     addPlacementSettings(parser, settings.placement);
 }
 
--- a/src/gateway/gatewaysettings.h
+++ b/src/gateway/gatewaysettings.h
@@ -13,41 +13,42 @@
 namespace RadishSwitch
 {
 
-/// What a gateway is told at its start.
+/// The settings of a gateway, given when it is started.
 struct GatewaySettings : FleetSettings {
-    /// Where callers come in.
+    /// The address at which the gateway accepts calls.
     SocketAddress listen{"127.0.0.1", 8080};
-    /// How long a stopping gateway goes on taking calls, so that the balancer has time to see that it is not ready: two
-    /// questions a second apart, and one more for one that is lost.
+    /// How long a stopping gateway goes on accepting calls, so that the load balancer has time to notice that it is not
+    /// ready: two readiness checks one second apart, and a third in case one is lost.
     Duration drainNotice = std::chrono::milliseconds(2500);
-    /// Within this a change of the configuration has to be in force, and a leaving endpoint without new calls.
+    /// Maximum time until a change of the configuration takes effect and a leaving endpoint receives no new calls.
     Duration changeBound = std::chrono::seconds(2);
-    /// Within this an order that a zone gets no new calls has to be in force; zero where no such orders are given.
+    /// Maximum time until a cordoned zone receives no new calls; zero if the platform has no cordons.
     Duration cordonBound{};
-    /// Regions by their availability zones: "north=east,south=east".
+    /// The region of each availability zone, as in "north=east,south=east".
     std::string zoneRegions;
-    /// Share of the change bound that a watch without news waits before the store is asked anew.
+    /// Share of the change bound after which a watch without changes is renewed at the store.
     double watchShare = 0.4;
-    /// How long callers that come before the configuration is known wait unread. They give up after a second; a gateway
-    /// mostly knows it 0.4 s after a restart. Two days of 23 and 27 gateways with a loss of power: calls refused for
-    /// want of a configuration 860 and 670 without, 394 and 518 with it.
+    /// How long a starting gateway leaves connections unaccepted while its configuration is not known. Callers give up
+    /// after a second, and a gateway mostly knows its configuration 0.4 s after a restart. In two test days with 23 and
+    /// 27 gateways and a power loss, 860 and 670 calls were refused for lack of a configuration without this wait, and
+    /// 394 and 518 with it.
     Duration longestHold = std::chrono::milliseconds(700);
-    /// Connections to be used for a call that can't be sent again were idle for no longer.
+    /// Maximum idle time of a connection that is used for a call which cannot be repeated.
     Duration longestIdleOnce = std::chrono::milliseconds(1500);
-    /// Each gateway watches the store itself, and not one of a zone for the others.
+    /// Each gateway watches the store itself, instead of one gateway of the zone watching it for the others.
     bool watchesAlone = false;
-    /// Homes beside endpoints are not asked; gateways are the homes of budgets.
+    /// Home processes are ignored, and gateways act as the homes of budgets.
     bool ignoresHomes = false;
-    /// Further attempts that all gateways together may make for each first one, and how many one gateway may save up,
-    /// for each pool.
+    /// Maximum number of retries per first attempt, over all gateways and for each pool; and how many unused retries
+    /// one gateway may accumulate for a pool.
     double retryBound = 0.2;
     double retryBurst = 6;
     PlacementSettings placement;
     AllowanceSettings allowances;
-    /// Calls are read also while this gateway has no processor time for them, and never refused unread.
+    /// Calls are never refused unread, not even while the gateway has too little processor time for them.
     bool takesAllCalls = false;
     LoadShedderSettings shedding;
-    /// Calls are sent also where endpoints answer late already.
+    /// Calls are sent to endpoints even if these already answer late.
     bool ignoresPressure = false;
 };
 
--- a/src/gateway/limitreports.cpp
+++ b/src/gateway/limitreports.cpp
@@ -19,14 +19,15 @@
 const Log kLog("limits");
 
 constexpr char kLimitField[] = "calls_per_second";
-/// Makes each writing a change, which tells that the limit still stands.
+/// A random value that makes each write a change of the object, which tells the other gateways that the limit still
+/// applies.
 constexpr char kNonceField[] = "writing";
 
-/// Smaller changes of a limit are not worth a call to the store.
+/// Smaller relative changes of a limit are not worth a write to the store.
 constexpr double kMinimumRelativeChange = 0.2;
-/// Gateways that hear the same at once do not all write it.
+/// Random delay up to this before a write, so that gateways which see a limit at the same time do not all write it.
 constexpr Duration kPublishSpread = std::chrono::milliseconds(100);
-/// A limit that still stands is written again so often. Less than it lasts without.
+/// A limit that still applies is rewritten at this interval, which is shorter than the time until it expires.
 constexpr Duration kRepublishInterval = kAnnouncedLimitTtl / 3;
 
 std::string keyOf(const EndpointId &endpoint)
@@ -46,7 +47,7 @@
         if (std::isfinite(limit) && limit >= 0) {
             return limit;
         }
-        return makeFailure(FailureCode::ObjectMalformed, "no limit: " + value);
+        return makeFailure(FailureCode::ObjectMalformed, "limit is not a finite non-negative number: " + value);
     } catch (const nlohmann::json::exception &e) {
         return makeFailure(FailureCode::ObjectMalformed, e.what());
     }
@@ -107,16 +108,17 @@
 
 void LimitReports::publish(const EndpointId &endpoint, double callsPerSecond)
 {
-    kLog.info("limit told",
+    kLog.info("endpoint limit published",
               {field("endpoint", endpoint.value()), field("calls_per_second", std::to_string(callsPerSecond))});
     const auto it = m_published.find(endpoint);
     const std::string value = nlohmann::json{{kLimitField, callsPerSecond}, {kNonceField, m_random.freshName()}}.dump();
     m_store.put(keyOf(endpoint), value, it == m_published.end() ? 0 : it->second.version,
                 [endpoint](const absl::StatusOr<std::uint64_t> &at) {
-                    // Another gateway was first, or the next answer brings it up again.
+                    // On a version conflict another gateway was first. Other failures are not retried here, since the
+                    // next answer of the endpoint brings the limit again.
                     if (!at.ok() && failureCode(at.status()) != FailureCode::VersionConflict) {
                         kLog.warning(
-                            "limit not told",
+                            "endpoint limit could not be published",
                             {field("endpoint", endpoint.value()), field("error", std::string(at.status().message()))});
                     }
                 });
@@ -124,11 +126,11 @@
 
 void LimitReports::withdraw(const EndpointId &endpoint, const Published &published)
 {
-    kLog.info("limit ended", {field("endpoint", endpoint.value())});
+    kLog.info("endpoint limit withdrawn", {field("endpoint", endpoint.value())});
     m_store.remove(keyOf(endpoint), published.version, [endpoint](const absl::Status &status) {
         const FailureCode code = failureCode(status);
         if (!status.ok() && code != FailureCode::VersionConflict && code != FailureCode::ObjectMissing) {
-            kLog.warning("end of a limit not told",
+            kLog.warning("endpoint limit could not be withdrawn",
                          {field("endpoint", endpoint.value()), field("error", std::string(status.message()))});
         }
     });
@@ -175,7 +177,7 @@
     const EndpointId endpoint = endpointOf(object.key);
     const absl::StatusOr<double> limit = readLimit(object.value);
     if (!limit.ok()) {
-        kLog.error("a limit can't be read",
+        kLog.error("unreadable endpoint limit ignored",
                    {field("key", object.key), field("error", std::string(limit.status().message()))});
         return;
     }
--- a/src/gateway/limitreports.h
+++ b/src/gateway/limitreports.h
@@ -13,22 +13,22 @@
 namespace RadishSwitch
 {
 
-/// Keys of what endpoints say that they take, one object for each endpoint while it says so.
+/// Key prefix of the limits that endpoints announce. There is one object for each endpoint that has a limit.
 inline constexpr char kLimitPrefix[] = "news/limit.";
 
-/// Tells the other gateways of limits that endpoints name, and brings theirs to the gate.
+/// Shares the call limits that endpoints announce among the gateways, and passes them to the call gate.
 ///
-/// Each gateway has a part of what a limited endpoint takes, and many have none: those get no answers from it, and
-/// would not hear that the limit has ended.
+/// Each gateway has a share of the calls that a limited endpoint accepts, and for many gateways that share is zero.
+/// Those receive no answers from the endpoint, and would otherwise not learn that the limit has ended.
 class LimitReports : public ObjectListener
 {
 public:
     LimitReports(ObjectStore &store, TimerService &timers, RandomSource &random, CallGate &gate);
 
-    /// What an endpoint's answer said: calls a second from all callers together, or that it names no limit.
+    /// Notes the limit in an endpoint's answer, in calls per second from all gateways together; empty for no limit.
     void noteLimit(const EndpointId &endpoint, std::optional<double> callsPerSecond);
 
-    /// Removes what nobody has heard for a long time.
+    /// Removes limits from the store that no gateway has seen in an answer for a long time.
     void removeExpired();
 
     void objectsListed(const std::vector<StoredObject> &objects) override;
@@ -53,7 +53,7 @@
     RandomSource &m_random;
     CallGate &m_gate;
     std::map<EndpointId, Published> m_published;
-    /// What is about to be told.
+    /// Limits that are about to be written to the store; empty for a limit that has ended.
     std::map<EndpointId, std::optional<double>> m_pending;
     std::shared_ptr<int> m_alive = std::make_shared<int>(0);
 };
--- a/src/gateway/logsampler.h
+++ b/src/gateway/logsampler.h
@@ -6,21 +6,22 @@
 namespace RadishSwitch
 {
 
-/// Which calls are logged, when there are too many for a line each: thousands that fail in a few seconds would take the
-/// processor time that the process needs to know what is going on.
+/// Selects the calls to be logged when there are too many for a line each. Logging thousands of failed calls within a
+/// few seconds would take processor time that the process needs for its work.
 ///
-/// Beyond the rate chosen by the call's id alone, so that all processes keep lines of the same calls.
+/// Above the rate limit the selection depends only on the id of the call, so that all processes log the same calls.
 class LogSampler
 {
 public:
-    /// Lines a second up to which each call is logged, and the part that is kept beyond: one in so many. A line costs
-    /// some 20 microseconds; 100 of them are 2 % of a tenth of a core.
+    /// Up to this many lines per second every call is logged; above that, one call in `kSampleOneIn`. A line costs
+    /// about 20 microseconds, so that 100 lines are 2 % of a tenth of a core.
     static constexpr int kLinesPerSecond = 100;
     static constexpr std::uint64_t kSampleOneIn = 16;
 
+    /// Whether to log a line for this call at this time. Each query counts as a line.
     bool shouldLog(const RequestId &call, Instant now);
 
-    /// How many were not kept since this was asked last.
+    /// The number of lines that were dropped since the previous call of this method.
     int takeDroppedCount();
 
 private:
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -9,7 +9,7 @@
     using namespace RadishSwitch;
 
     GatewaySettings settings;
-    SettingsParser parser("radishswitch-gateway", "Takes callers' calls and sends them straight to endpoints.");
+    SettingsParser parser("radishswitch-gateway", "Accepts calls from callers and sends them directly to endpoints.");
     addGatewaySettings(parser, settings);
     if (const std::optional<int> exitCode = parser.parseCommandLine(argc, argv)) {
         return *exitCode;
--- a/src/gateway/partsettings.cpp
+++ b/src/gateway/partsettings.cpp
@@ -8,15 +8,15 @@
 namespace
 {
 
-/// A change that a watch misses is known after its wait, the slack after it and a list; a quarter of the bound leaves
-/// room for a gateway that watches and is lost besides, and for a list from a slow store.
+/// Maximum wait of a watch. A change that a watch misses becomes known after this wait, its slack and a listing. A
+/// quarter of the bound remains for the loss of the gateway that watches for others and for a listing by a slow store.
 Duration watchWait(const GatewaySettings &settings)
 {
     return std::chrono::duration_cast<Duration>(settings.changeBound * settings.watchShare);
 }
 
-/// Changes that come closer together are read as one. Small against the bound, and long against the 30 ms that a large
-/// configuration takes a small instance.
+/// Changes within this time are read together. It is short compared with the change bound, and long compared with the
+/// 30 ms that a small instance takes to read a large configuration.
 Duration changePause(const GatewaySettings &settings)
 {
     return settings.changeBound / 10;
@@ -37,8 +37,8 @@
 {
     ObjectFollowerSettings follower;
     follower.changePause = changePause(settings);
-    // A change made during an outage is known in time after it. A hundred gateways that ask every 0.6 s on average
-    // would make 1,500 calls of an outage of 9 s, twice.
+    // A change made during an outage of the store becomes known within the bound after the outage. A shorter backoff is
+    // expensive: a hundred gateways that retry every 0.6 s on average make 1,500 calls during an outage of 9 s, twice.
     follower.longestBackoff = std::max(follower.longestBackoff, watchWait(settings));
     return follower;
 }
@@ -46,14 +46,15 @@
 ObjectFollowerSettings reportFollowerSettings()
 {
     ObjectFollowerSettings follower;
-    // Of a crash each gateway writes one object, and all within this.
+    // Each gateway writes one object about a crash, and all of them do so within this time.
     follower.changePause = std::chrono::milliseconds(50);
     return follower;
 }
 
 Duration relayTimeout(const GatewaySettings &settings)
 {
-    // It speaks after each watch of its own at the latest; the rest is for the store's answer and the way here.
+    // The watching gateway sends a message after each of its own watches at the latest. The slack is for the answer of
+    // the store and for the transfer of the message.
     constexpr Duration kSlack = std::chrono::milliseconds(300);
     return watchWait(settings) + changePause(settings) + kSlack;
 }
@@ -61,11 +62,11 @@
 RetrySettings retrySettings(const GatewaySettings &settings)
 {
     RetrySettings retry;
-    // The rest of the bound is for what gateways have saved up, which they may all spend at once.
+    // The rest of the bound is for accumulated retries, which all gateways may spend at once.
     constexpr double kShareOfBound = 0.6;
     retry.share = settings.retryBound * kShareOfBound;
     retry.burst = settings.retryBurst;
-    // The next endpoint is another one, and its load is weighed: waiting first would only make the caller wait.
+    // A retry goes to another endpoint, chosen by its load, so that a backoff would only delay the caller.
     retry.firstBackoff = Duration::zero();
     return retry;
 }
@@ -83,7 +84,7 @@
     gate.placement = settings.placement;
     gate.ignoresPressure = settings.ignoresPressure;
     gate.allowances = settings.allowances;
-    // Checked when the settings were read.
+    // The value was validated when the settings were read.
     gate.registry.zoneRegions = parseZoneRegions(settings.zoneRegions).value_or(std::map<std::string, std::string>());
     return gate;
 }
@@ -92,15 +93,15 @@
 {
     HttpServerSettings server;
     server.intake = &intake;
-    // A request that comes three seconds after the order to stop may last longer than the stop. By then connections are
-    // closed, a little after the balancer has turned to others.
+    // Kept connections are closed shortly after the load balancer has turned to other instances. A request that arrives
+    // three seconds after the start of the drain could last longer than the drain.
     server.drainGrace = std::chrono::milliseconds(300);
     return server;
 }
 
 LoadShedderSettings shedderSettings(const GatewaySettings &settings)
 {
-    // Later than any process runs its tasks.
+    // A queueing delay that no process reaches, which switches shedding off.
     constexpr Duration kNever = std::chrono::hours(1);
     LoadShedderSettings shedding = settings.shedding;
     if (settings.takesAllCalls) {
--- a/src/gateway/partsettings.h
+++ b/src/gateway/partsettings.h
@@ -9,8 +9,8 @@
 #include "serving/callgate.h"
 #include "serving/objectfollower.h"
 
-/// What the settings of a gateway mean for each of its parts. Spans that no operator sets stand here with their
-/// reasons.
+/// Derives the settings of the components of a gateway from the settings of the gateway. Values that operators cannot
+/// set are constants here.
 namespace RadishSwitch
 {
 
@@ -18,7 +18,7 @@
 ObjectFollowerSettings followerSettings(const GatewaySettings &settings);
 ObjectFollowerSettings reportFollowerSettings();
 
-/// How long the gateway that watches for others may be without a word.
+/// Time without a message after which the gateway that watches the store for others is considered lost.
 Duration relayTimeout(const GatewaySettings &settings);
 
 RetrySettings retrySettings(const GatewaySettings &settings);
--- a/src/gateway/poisonguard.cpp
+++ b/src/gateway/poisonguard.cpp
@@ -10,9 +10,10 @@
 namespace
 {
 
-/// About as long as crashes are remembered: sooner the request is refused again.
+/// About the retention period of crashes. A request that is repeated sooner is refused again.
 constexpr std::chrono::milliseconds kRetryAfter = std::chrono::minutes(10);
-/// The news of an answer matters from here on: one more crash may bar the request.
+/// A complete answer is reported to the other gateways if the request has at least this many crashes, since one more
+/// crash may bar it.
 constexpr std::size_t kMinimumCrashesToReport = 2;
 
 }
@@ -30,7 +31,7 @@
     if (!m_detector.isBarred(request)) {
         return absl::OkStatus();
     }
-    return makeFailure(FailureCode::PoisonRequest, "endpoints have crashed under this request", kRetryAfter);
+    return makeFailure(FailureCode::PoisonRequest, "endpoints have crashed while running this request", kRetryAfter);
 }
 
 void PoisonGuard::noteBroken(const CrashedRun &run, const std::string &address)
--- a/src/gateway/poisonguard.h
+++ b/src/gateway/poisonguard.h
@@ -6,34 +6,34 @@
 namespace RadishSwitch
 {
 
-/// Keeps requests from endpoints that have crashed others, whichever gateway they come to.
+/// Keeps requests that have crashed endpoints away from further endpoints, whichever gateway receives them.
 class PoisonGuard
 {
 public:
-    /// `onCrashed` hears of endpoints that crashed while they had calls of this process.
+    /// `onCrashed` is called for endpoints that crashed while they ran calls of this gateway.
     PoisonGuard(WorkerPool &workers, ObjectStore &store, EndpointConnections &connections, TimerService &timers,
                 RandomSource &random, const std::string &instance,
                 std::function<void(const EndpointIncarnation &)> onCrashed);
 
-    /// Whether there is anything to ask the rest about: fingerprints are not made for nothing.
+    /// Whether any crash is known at all. Otherwise the fingerprints of requests need not be computed.
     bool hasSuspects() const
     {
         return !m_detector.isEmpty();
     }
 
-    /// PoisonRequest when the request is to be kept from endpoints.
+    /// PoisonRequest if the request must not be sent to endpoints.
     absl::Status check(const RequestFingerprint &request) const;
 
-    /// Crashes that count against the request.
+    /// The number of crashes attributed to the request.
     int crashes(const RequestFingerprint &request) const
     {
         return m_detector.countedCrashes(request);
     }
 
-    /// The connection broke during the run, under which the endpoint may have crashed.
+    /// The connection broke during the run, which may mean that the endpoint has crashed.
     void noteBroken(const CrashedRun &run, const std::string &address);
 
-    /// An endpoint has run the request to its end, and lives.
+    /// An endpoint has answered the request completely, without crashing.
     void noteAnswered(const RequestFingerprint &request);
 
     CrashReports &reports()
--- a/src/gateway/reportrouter.h
+++ b/src/gateway/reportrouter.h
@@ -8,14 +8,14 @@
 namespace RadishSwitch
 {
 
-/// Prefix of the store's objects by which gateways tell one another what each of them sees. One watch brings all.
+/// Key prefix of the objects by which gateways exchange their observations. One watch of the store covers all of them.
 inline constexpr char kReportPrefix[] = "news/";
 
-/// Hands the gateways' news to the parts that they are for, by their keys.
+/// Distributes changes of the objects exchanged by gateways to listeners, by the prefix of the key.
 class ReportRouter : public ObjectListener
 {
 public:
-    /// The part's keys begin with `prefix`; it outlives this.
+    /// Adds a listener for the keys that begin with `prefix`. The listener must outlive this router.
     void add(std::string prefix, ObjectListener &listener);
 
     void objectsListed(const std::vector<StoredObject> &objects) override;
--- a/src/gateway/servingcatalogue.h
+++ b/src/gateway/servingcatalogue.h
@@ -11,7 +11,7 @@
 namespace RadishSwitch
 {
 
-/// Where a platform's store keeps what calls are served by, and in which form.
+/// The keys and formats of the objects in a platform's store by which calls are served.
 class ServingCatalogue
 {
 public:
@@ -23,22 +23,22 @@
     /// Whether the object is the configuration in force.
     virtual bool isConfiguration(const StoredObject &object) const = 0;
 
-    /// ObjectMalformed when it can't be read.
+    /// ObjectMalformed if the object cannot be parsed.
     virtual absl::StatusOr<ServingConfiguration> readConfiguration(const StoredObject &object) const = 0;
 
     /// Prefix under which the store keeps the list of endpoints.
     virtual std::string endpointPrefix() const = 0;
 
-    /// The endpoint of an entry of the list, also of one that was removed.
+    /// The endpoint of an entry of the list, which may have been removed.
     virtual EndpointId endpointOf(const std::string &key) const = 0;
 
-    /// ObjectMalformed when it can't be read.
+    /// ObjectMalformed if the object cannot be parsed.
     virtual absl::StatusOr<EndpointListing> readEndpoint(const StoredObject &object) const = 0;
 
-    /// Prefix under which the store keeps operators' orders that zones get no new calls.
+    /// Prefix under which the store keeps cordons: orders of operators that a zone receives no new calls.
     virtual std::string cordonPrefix() const = 0;
 
-    /// The zone of such an order, also of one that was taken back. ObjectMalformed when it names none.
+    /// The zone of a cordon, which may have been withdrawn. ObjectMalformed if the key names no zone.
     virtual absl::StatusOr<std::string> cordonedZoneOf(const std::string &key) const = 0;
 };
 
--- a/tests/radishswitch-gateway/backedoffendpoints_test.cpp
+++ b/tests/radishswitch-gateway/backedoffendpoints_test.cpp
@@ -5,16 +5,16 @@
 
 using namespace RadishSwitch;
 
-/// Endpoints that turn calls away and say for how long they want none of the gateway that sent them.
+/// Endpoints that refuse calls and state for how long the gateway should send them none.
 class BackedOffEndpointsTest : public GatewayFixture
 {
 protected:
     using Milliseconds = std::chrono::milliseconds;
 
     static constexpr Duration kPause = Milliseconds(25);
-    /// Calls under way when an endpoint asks for backoff may still arrive so long after.
+    /// Calls in flight when an endpoint asks for backoff may still arrive within this time.
     static constexpr Duration kInFlightTime = Milliseconds(500);
-    /// Calls of one gateway that may reach an endpoint while it wants none.
+    /// Maximum number of calls of one gateway that may reach an endpoint during its backoff.
     static constexpr std::size_t kMaximumCalls = 2;
 
     void startWithBoth()
@@ -30,7 +30,7 @@
         });
     }
 
-    /// Sends calls for a time, and gives how many were answered.
+    /// Sends calls during a span, and returns how many were answered.
     int send(Duration span, const std::string &target = "/safe/1")
     {
         int answered = 0;
@@ -43,7 +43,7 @@
         return answered;
     }
 
-    /// The most calls that reached an endpoint while one of its demands held, but for those on their way.
+    /// The maximum number of calls that reached the endpoint during one of its backoffs, without those in flight.
     std::size_t maximumCallsDuringBackoff(const ReplicaServer &endpoint, Duration backoff)
     {
         return onTestServers([&] {
@@ -69,18 +69,18 @@
     int m_calls = 0;
 };
 
-// Guards against an endpoint that is sent calls while it has asked for none.
+// Guards against calls to an endpoint that has asked for backoff.
 TEST_F(BackedOffEndpointsTest, endpointAsksForBackoff_receivesNoCallsUntilItEnds)
 {
     startWithBoth();
     turnAway(first, "3");
     const int answered = send(std::chrono::seconds(4));
     EXPECT_LE(maximumCallsDuringBackoff(first, std::chrono::seconds(3)), kMaximumCalls);
-    // All but the first few of some 150, which the other endpoint can take.
+    // Nearly all of about 150 calls are answered, since the other endpoint has room for them.
     EXPECT_GE(answered, 100);
 }
 
-// Guards against further attempts, streams and calls that must not run twice that pass a backoff by.
+// Guards against a backoff that is ignored by further attempts, by streams, or by calls that must not be repeated.
 TEST_F(BackedOffEndpointsTest, callsOfAllKinds_respectBackoff)
 {
     startWithBoth();
@@ -94,7 +94,7 @@
     EXPECT_LE(maximumCallsDuringBackoff(first, std::chrono::seconds(3)), kMaximumCalls);
 }
 
-// Guards against an endpoint that is never sent a call again, or much later than it asked for.
+// Guards against an endpoint that receives no calls after its backoff has ended, or only much later.
 TEST_F(BackedOffEndpointsTest, expiredBackoff_endpointReceivesCallsAgain)
 {
     startWithBoth();
@@ -107,7 +107,8 @@
     EXPECT_GE(arrivalsAt(first) - before, 5U);
 }
 
-// Guards against callers that wait for their deadline, or come back too early, while all endpoints want none.
+// Guards against callers that wait until their deadline, or retry too early, while all endpoints have asked for
+// backoff.
 TEST_F(BackedOffEndpointsTest, allEndpointsBackedOff_callIsRefusedAtOnceWithEarliestRetryAfter)
 {
     startWithBoth();
@@ -125,7 +126,8 @@
     EXPECT_EQ(runs("told"), 0);
 }
 
-// Guards against an endpoint that is starved by what it says, and against a gateway that fails over it.
+// Guards against an endpoint that receives no calls because of a malformed Retry-After, and against a gateway that
+// fails on such a header.
 TEST_F(BackedOffEndpointsTest, malformedBackoff_isIgnored)
 {
     startWithBoth();
@@ -139,7 +141,7 @@
     }
 }
 
-// Guards against a later life that pays for what the one before it asked for.
+// Guards against a restarted endpoint that receives no calls because of the backoff of its earlier incarnation.
 TEST_F(BackedOffEndpointsTest, restartedEndpoint_isFreeOfEarlierBackoff)
 {
     startWithBoth();
--- a/tests/radishswitch-gateway/closedzones_test.cpp
+++ b/tests/radishswitch-gateway/closedzones_test.cpp
@@ -2,7 +2,7 @@
 
 using namespace RadishSwitch;
 
-/// A gateway where operators may close zones; both endpoints are in zone "a".
+/// A gateway on a platform where operators can close zones. Both endpoints are in zone "a".
 class ClosedZonesTest : public GatewayFixture
 {
 protected:
@@ -44,7 +44,7 @@
     int m_asked = 0;
 };
 
-// Guards against calls into a closed zone, and against a zone that stays closed.
+// Guards against calls into a closed zone, and against a zone that stays closed after it was reopened.
 TEST_F(ClosedZonesTest, closedZone_callsAreRefusedUntilItIsOpen)
 {
     start();
@@ -57,7 +57,7 @@
     waitForStatus(200);
 }
 
-// Guards against a gateway that starts while a zone is closed and sends calls there before it has heard of the order.
+// Guards against a gateway that starts while a zone is closed, and sends calls there before it has read the cordon.
 TEST_F(ClosedZonesTest, gatewayStartedAfterZoneWasClosed_refusesCalls)
 {
     close("a");
@@ -66,7 +66,7 @@
     EXPECT_EQ(runs("first"), 0);
 }
 
-// Guards against an outage by an order for a zone that nobody knows.
+// Guards against an outage caused by a cordon for an unknown zone.
 TEST_F(ClosedZonesTest, unknownZone_changesNothing)
 {
     close("nowhere");
@@ -74,7 +74,8 @@
     EXPECT_EQ(statusOf(request("/safe/1", "first")), 200);
 }
 
-// Guards against a zone that stays closed for ever, because its opening fell into history that the store has dropped.
+// Guards against a zone that stays closed because the store compacted the change that reopened it. The gateway has to
+// read the change from a listing.
 TEST_F(ClosedZonesTest, reopeningLostToCompaction_isReadFromListing)
 {
     close("a");
--- a/tests/radishswitch-gateway/gatewaycalls_test.cpp
+++ b/tests/radishswitch-gateway/gatewaycalls_test.cpp
@@ -9,7 +9,7 @@
 {
 };
 
-/// One retry is there, and calls bring no further ones.
+/// A gateway with one accumulated retry, to which calls add no further ones.
 class LastRetryTest : public GatewayFixture
 {
 protected:
@@ -47,8 +47,8 @@
     EXPECT_EQ(seen.body, "hello");
 }
 
-// A caller sends the fleet's own headers, as if it were a gateway. Passed on, they would have its call billed to
-// another organisation, admitted before all others, or run on the memory of another's call.
+// Guards against callers that forge the headers by which gateways instruct endpoints. If these were forwarded, the call
+// could be billed to another organisation, run with a higher priority, or use the cached data of another caller's call.
 TEST_F(GatewayCallsTest, callersFleetHeaders_neverReachEndpoint)
 {
     start();
@@ -97,8 +97,8 @@
     EXPECT_EQ(runs("call-1"), 0);
 }
 
-// An order runs and its answer is lost. The caller is told that the outcome is unknown, by a status that promises
-// nothing: "not run" would make it order again.
+// Guards against an unsafe call that runs twice. The call runs and its answer is lost. The status has to say that the
+// outcome is unknown, since "not run" would make the caller repeat the call.
 TEST_F(GatewayCallsTest, unsafeCallWithLostAnswer_outcomeIsUnknownAndRunsOnce)
 {
     start();
@@ -117,7 +117,7 @@
     onTestServers([this] {
         first.addFaults(ReplicaServer::Fault::LoseAnswer, 1);
     });
-    // Calls go to either endpoint; one of them meets the fault and is answered all the same.
+    // Calls go to either endpoint. One of them meets the fault, and is answered nevertheless.
     for (int n = 0; n < 8; ++n) {
         const auto response = call(request("/safe/1", "call-" + std::to_string(n)));
         ASSERT_TRUE(response.ok()) << response.status();
@@ -126,7 +126,7 @@
     }
 }
 
-// Guards against callers that go on being sent to an endpoint that fails its calls while its health is good.
+// Guards against calls to an endpoint that passes its health checks but fails its calls.
 TEST_F(GatewayCallsTest, endpointAnsweringWithErrors_isEjected)
 {
     constexpr int kCalls = 40;
@@ -145,8 +145,8 @@
     EXPECT_LE(failed, kCalls / 5);
 }
 
-// An endpoint breaks off in the middle of an event. The caller sees no gap: another goes on behind the last whole
-// event, and the half one is never shown.
+// Guards against gaps and partial events in a resumed stream. An endpoint closes the connection in the middle of an
+// event. Another endpoint continues after the last complete event, and the partial event is never relayed.
 TEST_F(GatewayCallsTest, resumableStreamInterrupted_continuesWithoutGapOrRepetition)
 {
     start();
@@ -162,8 +162,9 @@
     }
 }
 
-// An endpoint breaks off, and the one that is asked to go on fails with a status of its own. The caller has two events
-// already; a second head behind them would be bytes that are no answer. It sees a stream that breaks off.
+// Guards against an error answer inside a stream. An endpoint closes the connection, and the endpoint that should
+// continue fails with an error status. The caller already has two events, so a second head would corrupt the stream.
+// The gateway has to abort the stream instead.
 TEST_F(GatewayCallsTest, resumableStreamInterruptedAndResumeFails_isAbortedWithoutErrorBehindEvents)
 {
     start();
@@ -174,8 +175,9 @@
     EXPECT_EQ(runs("call-1"), 2);
 }
 
-// A stream breaks off, and there is no other endpoint to go on with it. Later there is one, and a stream that breaks
-// off then goes on: the retry that was granted to the first and not made is there for the second.
+// Guards against a retry that is used up without being sent. A stream is interrupted while no other endpoint is
+// available, so its retry is granted but not sent. Once there is another endpoint, the next interrupted stream needs
+// that retry.
 TEST_F(LastRetryTest, retryWithoutEndpoint_isReturnedToBudget)
 {
     start();
@@ -195,8 +197,7 @@
     }
 }
 
-// A stream breaks off on a route whose streams can't be resumed. The answer must not look complete, and must not run
-// again.
+// Guards against an interrupted stream that looks complete or runs again, on a route whose streams cannot be resumed.
 TEST_F(GatewayCallsTest, unrepeatableStreamInterrupted_isAbortedAndRunsOnce)
 {
     start();
@@ -218,8 +219,8 @@
     EXPECT_EQ(runs("call-1"), 0);
 }
 
-// A second answer to an earlier call comes where the answer to this one is due. Passed on, the caller would get another
-// customer's answer.
+// Guards against a caller that receives another customer's answer. A duplicate answer to an earlier call arrives on the
+// connection in place of the answer to this call.
 TEST_F(GatewayCallsTest, strayAnswerOfAnotherCall_isSkipped)
 {
     addFaults(ReplicaServer::Fault::StrayAnswerFirst, 1);
@@ -238,8 +239,8 @@
     EXPECT_EQ(response->status, 502);
 }
 
-// An endpoint ends and another service gets its address. The list still names the one that is gone; its calls are
-// refused by the newcomer and go elsewhere.
+// Guards against calls that fail because an address was reused. An endpoint ends and another one gets its address,
+// while the list still contains the old entry. The new endpoint refuses the calls, and they have to be sent elsewhere.
 TEST_F(GatewayCallsTest, reusedAddress_callRunsElsewhere)
 {
     start();
@@ -279,7 +280,7 @@
         return eventsOf() > 3;
     });
     socket.close();
-    // The run of 10,000 events would take 20 s; it ends when the write to the closed connection fails.
+    // A complete run of 10,000 events would take 20 s. It ends early, when a write to the closed connection fails.
     std::int64_t before = -1;
     waitUntil([&] {
         const std::int64_t now = eventsOf();
--- a/tests/radishswitch-gateway/gatewayfixture.h
+++ b/tests/radishswitch-gateway/gatewayfixture.h
@@ -12,9 +12,9 @@
 
 #include <future>
 
-/// A gateway on loopback before stand-ins of the platform's store and of two endpoints of one pool, "llm".
+/// A gateway on loopback, with test servers in place of the platform's store and of two endpoints of one pool, "llm".
 ///
-/// The stand-ins share one worker; what a test asks of them goes there, so that nothing is shared between threads.
+/// The test servers share one worker. Tests access them on that worker only, so that no data is shared between threads.
 class GatewayFixture : public testing::Test
 {
 protected:
@@ -60,7 +60,7 @@
         return settings;
     }
 
-    /// Runs something on the stand-ins' worker.
+    /// Runs a function on the worker of the test servers and returns its result.
     template<typename Work>
     auto onTestServers(Work work) -> decltype(work())
     {
@@ -77,7 +77,7 @@
         return result.get();
     }
 
-    /// Only before the stand-ins run, or on their worker.
+    /// To be called on the worker of the test servers, or before that worker is started.
     void putObject(const std::string &kind, const std::string &name, const Json &spec)
     {
         Json object{{"metadata", {{"name", name}}}, {"spec", spec}};
@@ -132,7 +132,7 @@
         putObject("config", "main", configuration(version, reserved));
     }
 
-    /// Adds the second endpoint, and waits until calls go there.
+    /// Lists the second endpoint, and waits until it receives calls.
     void addSecond()
     {
         onTestServers([this] {
@@ -159,14 +159,14 @@
         return settings;
     }
 
-    /// Starts the gateway and waits until it says that it is ready.
+    /// Starts the gateway, and waits until it reports that it is ready.
     void start()
     {
         gateway.reset();
         gateway = startGateway(gatewaySettings());
     }
 
-    /// Starts a second gateway of the same fleet, and waits likewise.
+    /// Starts a second gateway of the same fleet, and waits until it reports that it is ready.
     void startOther()
     {
         RadishSwitch::GatewaySettings settings = gatewaySettings();
@@ -187,13 +187,13 @@
         return started;
     }
 
-    /// Asks again and again until `condition` holds, for a long time at most.
+    /// Evaluates the condition repeatedly until it holds; fails the test after `kTestTimeout`.
     template<typename Condition>
     void waitUntil(Condition condition)
     {
         const auto end = std::chrono::steady_clock::now() + kTestTimeout;
         while (!condition()) {
-            ASSERT_LT(std::chrono::steady_clock::now(), end) << "it never came true";
+            ASSERT_LT(std::chrono::steady_clock::now(), end) << "the condition did not hold in time";
         }
     }
 
@@ -216,7 +216,7 @@
         return request;
     }
 
-    /// A call that is answered by a stream: `maximumOutput` / 7 events.
+    /// A call that is answered by a stream of `maximumOutput` / 7 events.
     static HttpRequest streamRequest(const std::string &target, const std::string &call, int maximumOutput = 70)
     {
         HttpRequest it = request(target, call);
@@ -240,7 +240,7 @@
         return text;
     }
 
-    /// How often a call has run, over both endpoints.
+    /// How many times a call has run, at both endpoints together.
     int runs(const std::string &call)
     {
         return onTestServers([&] {
--- a/tests/radishswitch-gateway/gatewayreports_test.cpp
+++ b/tests/radishswitch-gateway/gatewayreports_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace RadishSwitch;
 
-/// Two gateways that tell each other what they see through a store in memory, in virtual time.
+/// Two gateways that exchange crash reports and limits through an in-memory store, in virtual time.
 class GatewayReportsTest : public testing::Test
 {
 protected:
@@ -49,10 +49,10 @@
 
     GatewayReportsTest()
     {
-        advance(Milliseconds(10));
+        advanceTime(Milliseconds(10));
     }
 
-    void advance(Duration span)
+    void advanceTime(Duration span)
     {
         const Instant end = timers.now() + span;
         while (timers.now() < end) {
@@ -72,7 +72,7 @@
         for (int n = 0; n < count; ++n) {
             const int before = at.detector.countedCrashes(request());
             at.reports.addCrashed({{EndpointId("engine-" + std::to_string(++m_crashes)), 0}, request(), before});
-            advance(Milliseconds(700));
+            advanceTime(Milliseconds(700));
         }
     }
 
@@ -94,18 +94,18 @@
     int m_crashes = 0;
 };
 
-// Guards against crashes that count only where they were seen.
+// Guards against crashes that count only at the gateway that saw them.
 TEST_F(GatewayReportsTest, crashesSeenAtDifferentGateways_countAtBoth)
 {
     crash(one, 2);
     crash(two, 1);
     EXPECT_TRUE(one.detector.isBarred(request()));
     EXPECT_TRUE(two.detector.isBarred(request()));
-    advance(std::chrono::seconds(2));
+    advanceTime(std::chrono::seconds(2));
     EXPECT_EQ(objects("news/crash.barred."), 1U);
 }
 
-// Guards against reports that are lost with an outage of the store.
+// Guards against reports that are lost during an outage of the store.
 TEST_F(GatewayReportsTest, crashesDuringStoreOutage_arePublishedAfterIt)
 {
     store.setAway(true);
@@ -113,105 +113,105 @@
     EXPECT_TRUE(one.detector.isBarred(request()));
     EXPECT_FALSE(two.detector.isBarred(request()));
     store.setAway(false);
-    advance(std::chrono::seconds(2));
+    advanceTime(std::chrono::seconds(2));
     EXPECT_TRUE(two.detector.isBarred(request()));
 }
 
-// Guards against a report that is written twice because the answer to the first writing was lost.
+// Guards against a report that counts twice because the answer to its first write was lost and the write was repeated.
 TEST_F(GatewayReportsTest, reportWithLostWriteAnswer_countsOnce)
 {
     store.loseAnswersOfNextWrites(2);
     crash(one, 1);
-    advance(std::chrono::seconds(3));
+    advanceTime(std::chrono::seconds(3));
     EXPECT_EQ(objects("news/crash.report."), 1U);
     EXPECT_EQ(two.detector.crashes(request()), 1U);
 }
 
-// Guards against a gateway that starts and lets through what the others refuse.
+// Guards against a newly started gateway that sends requests which the others refuse.
 TEST_F(GatewayReportsTest, gatewayStartedLater_knowsBarredRequests)
 {
     crash(one, 3);
-    advance(std::chrono::seconds(2));
+    advanceTime(std::chrono::seconds(2));
     TestGateway late(store, timers, random, "late");
-    advance(Milliseconds(100));
+    advanceTime(Milliseconds(100));
     EXPECT_TRUE(late.detector.isBarred(request()));
 }
 
-// Guards against a request that stays refused at other gateways after it was answered.
+// Guards against a request that other gateways still refuse after an endpoint has answered it.
 TEST_F(GatewayReportsTest, barredRequestAnswered_isAllowedAtBothGateways)
 {
     crash(one, 3);
-    advance(std::chrono::seconds(2));
+    advanceTime(std::chrono::seconds(2));
     ASSERT_TRUE(two.detector.isBarred(request()));
     two.reports.addAnswered(request());
-    advance(std::chrono::seconds(1));
+    advanceTime(std::chrono::seconds(1));
     EXPECT_FALSE(one.detector.isBarred(request()));
     EXPECT_FALSE(two.detector.isBarred(request()));
     EXPECT_EQ(objects("news/crash.barred."), 0U);
 }
 
-// Guards against a store that fills with what nobody remembers.
+// Guards against a store that fills up with expired reports.
 TEST_F(GatewayReportsTest, expiredReports_areRemovedFromStoreAndMemory)
 {
     crash(one, 3);
-    advance(std::chrono::seconds(2));
+    advanceTime(std::chrono::seconds(2));
     timers.advance(std::chrono::minutes(13));
     for (int n = 0; n < 5; ++n) {
         one.reports.removeExpired();
         two.reports.removeExpired();
-        advance(std::chrono::seconds(2));
+        advanceTime(std::chrono::seconds(2));
     }
     EXPECT_EQ(objects(kReportPrefix), 0U);
     EXPECT_TRUE(one.detector.isEmpty());
     EXPECT_TRUE(two.detector.isEmpty());
 }
 
-// Guards against a gateway that ends over what another writer left under its prefix.
+// Guards against a gateway that fails on an object which another process wrote under the prefix.
 TEST_F(GatewayReportsTest, unreadableObjects_areIgnored)
 {
     for (const std::string key : {"news/crash.report.x", "news/crash.barred.zz", "news/limit.engine", "news/other"}) {
         store.put(key, "no JSON", 0, [](const absl::StatusOr<std::uint64_t> &) {});
     }
-    advance(std::chrono::seconds(1));
+    advanceTime(std::chrono::seconds(1));
     EXPECT_TRUE(one.detector.isEmpty());
     EXPECT_FALSE(one.isLimited(timers.now()));
     crash(one, 3);
     EXPECT_TRUE(two.detector.isBarred(request()));
 }
 
-// Guards against a gateway with no part in a limit that hears neither of it nor of its end.
+// Guards against a gateway without a share of a limit that learns neither of the limit nor of its end.
 TEST_F(GatewayReportsTest, limitSeenByOneGateway_appliesAtBothUntilWithdrawn)
 {
     one.limits.noteLimit(EndpointId("engine"), 1.5);
-    advance(std::chrono::seconds(1));
+    advanceTime(std::chrono::seconds(1));
     EXPECT_TRUE(two.isLimited(timers.now()));
     two.limits.noteLimit(EndpointId("engine"), std::nullopt);
-    advance(std::chrono::seconds(1));
+    advanceTime(std::chrono::seconds(1));
     EXPECT_FALSE(one.isLimited(timers.now()));
     EXPECT_EQ(objects(kLimitPrefix), 0U);
 }
 
-// Guards against a call to the store with each answer.
+// Guards against a write to the store for each answer of an endpoint.
 TEST_F(GatewayReportsTest, nearlyConstantLimit_isPublishedRarely)
 {
     const int before = store.writes();
     for (int n = 0; n < 200; ++n) {
         TestGateway &at = n % 2 == 0 ? one : two;
         at.limits.noteLimit(EndpointId("engine"), 1.5 + 0.01 * (n % 5));
-        advance(Milliseconds(100));
+        advanceTime(Milliseconds(100));
     }
     EXPECT_LE(store.writes() - before, 6);
     EXPECT_TRUE(one.isLimited(timers.now()));
     EXPECT_TRUE(two.isLimited(timers.now()));
 }
 
-// Guards against a limit that stays in the store after its endpoint has ended.
+// Guards against a limit that stays in the store although its endpoint has ended.
 TEST_F(GatewayReportsTest, limitNotSeenAgain_isRemoved)
 {
     one.limits.noteLimit(EndpointId("engine"), 1.5);
-    advance(std::chrono::seconds(1));
+    advanceTime(std::chrono::seconds(1));
     for (int n = 0; n < 40; ++n) {
-        advance(std::chrono::seconds(2));
+        advanceTime(std::chrono::seconds(2));
         one.limits.removeExpired();
         two.limits.removeExpired();
     }
--- a/tests/radishswitch-gateway/gatewaystate_test.cpp
+++ b/tests/radishswitch-gateway/gatewaystate_test.cpp
@@ -15,7 +15,7 @@
         return response.ok() ? response->status : 0;
     }
 
-    /// What the ledger says of the one budget; null while there is none.
+    /// The ledger's record of the only budget; null if there is none.
     Json budgetRecord()
     {
         return onTestServers([this] {
@@ -31,8 +31,8 @@
     }
 };
 
-// Each call may cost 170 tokens and costs 170. Of 1,000 tokens five calls can be paid for; the rest are refused, and
-// what was spent stays inside what was paid.
+// Guards against a budget that is overdrawn. Each call reserves and uses 170 tokens, so that 1,000 prepaid tokens cover
+// five calls. The other calls have to be refused.
 TEST_F(GatewayStateTest, budget_isNeverOverdrawnAndRefusesWhatItCannotCover)
 {
     onTestServers([this] {
@@ -76,7 +76,7 @@
     waitUntil([this] {
         return statusOf(request("/added/1", "call-2")) == 200;
     });
-    // A store that answers from before brings version 4, without the route; version 6 after it tells that it was read.
+    // A store with stale answers returns version 4, which lacks the route, and then another object of version 4.
     onTestServers([this] {
         extraRoutes = {};
         putConfiguration(4, 1'000'000);
@@ -88,7 +88,7 @@
     }
 }
 
-// A configuration comes that can't be read. Calls go on under the last good one.
+// Guards against a gateway that stops serving calls when it receives an unreadable configuration.
 TEST_F(GatewayStateTest, unreadableConfiguration_lastValidOneStaysInForce)
 {
     start();
@@ -100,8 +100,8 @@
     }
 }
 
-// The store forgets its history while a watch waits there, and tells the watch nothing. A change made in that gap is
-// still in force soon after.
+// Guards against a lost change. The store compacts its history while a watch waits, and does not notify the watch. The
+// gateway has to read the change from a listing soon after.
 TEST_F(GatewayStateTest, changeLostToCompaction_isReadFromListing)
 {
     start();
@@ -122,7 +122,8 @@
     onTestServers([this] {
         putEndpoint("replica-1", first.port(), "draining");
     });
-    // Two sound endpoints of equal cost share the calls; so many in a row for one tell that the other is out.
+    // Two healthy endpoints of equal cost share the calls. This many calls in a row at one of them show that the other
+    // receives none.
     constexpr int kInARow = 30;
     int inARow = 0;
     waitUntil([&] {
@@ -140,9 +141,9 @@
     EXPECT_FALSE(wasUsed);
 }
 
-// The only endpoint leaves, crashes and starts again under its id before its entry is gone. It has new work to offer
-// and no other announcement of its own; were it held to what its earlier life announced, its pool would stay without
-// any.
+// Guards against a restarted endpoint that is still treated as leaving. The only endpoint leaves, crashes, and starts
+// again with the same id before its entry is removed. If the announcement of its earlier incarnation still applied, its
+// pool would have no endpoint.
 TEST_F(GatewayStateTest, restartedEndpointWithSameId_receivesCalls)
 {
     start();
@@ -160,8 +161,9 @@
     });
 }
 
-// Another process writes what is no entry into the list before the gateway starts and while it runs. Calls go to the
-// sound endpoint as before, news of others still comes, and nothing is sent to the addresses that the others name.
+// Guards against malformed entries that affect other endpoints. Another process writes them into the list before the
+// gateway starts and while it runs. Calls still go to the healthy endpoint, changes of valid entries still take effect,
+// and nothing is sent to the addresses in the malformed entries.
 TEST_F(GatewayStateTest, malformedEndpointEntries_doNotAffectValidOnes)
 {
     onTestServers([this] {
@@ -182,8 +184,8 @@
     }
 }
 
-// The store goes away after a portion was taken. Calls go on with what the gateway holds, and are refused as "not run",
-// not as exhausted, once it is used up.
+// Guards against calls that fail at once when the store becomes unreachable. The gateway uses the portion that it
+// holds, and after that refuses calls as "not run" and not as out of budget.
 TEST_F(GatewayStateTest, storeUnreachable_callsUseHeldPortion)
 {
     onTestServers([this] {
@@ -204,8 +206,8 @@
     }
 }
 
-// A gateway is told to stop with a stream open. The stream ends whole, the gateway is not ready from the first moment
-// on, and what it held of the budget is free again.
+// Guards against a planned stop that interrupts an open stream, leaves the gateway ready, or loses the portion that the
+// gateway holds of a budget.
 TEST_F(GatewayStateTest, plannedStop_finishesStreamsAndReturnsPortions)
 {
     onTestServers([this] {
@@ -238,10 +240,10 @@
     EXPECT_EQ(record.value("portions", Json::object()).size(), 0U);
 }
 
-// A caller reads a stream on a connection that was promised to stay open when the gateway is told to stop. The stream
-// ends seconds later, and the caller's next call comes on that connection. It was taken up to 7.2 s after the line
-// "draining", with 0.4 s left for it, and broken off at the end of the stop; now the caller is told at once that it has
-// not run.
+// Guards against a call that is accepted late in a drain and aborted at its end. A caller reads a stream on a
+// keep-alive connection while the gateway drains, and sends its next call on that connection when the stream has ended.
+// Such calls were accepted up to 7.2 s after the log line "draining", with 0.4 s left for them. The gateway has to
+// answer at once that the call has not run.
 TEST_F(GatewayStateTest, callOnKeptConnectionAfterDrainNotice_isRefusedAsNotRun)
 {
     start();
@@ -261,7 +263,7 @@
     gateway->drain([&drained] {
         drained.set_value();
     });
-    // The notice is over when no new connection is taken.
+    // The drain notice is over once the gateway refuses new connections.
     waitUntil([&] {
         boost::system::error_code ec;
         boost::asio::ip::tcp::socket other(context);
@@ -283,8 +285,8 @@
     drained.get_future().wait();
 }
 
-// A gateway is told to stop with a long stream open, and might be cut off from the store before that one has ended. All
-// of its portion but the stream's own reservation is free again while the stream still runs.
+// Guards against a drain that keeps portions until the last call has ended, when the gateway may already be cut off
+// from the store. Everything but the reservation of the open stream has to be returned while the stream still runs.
 TEST_F(GatewayStateTest, drainWithOpenStream_returnsUnreservedTokensAtOnce)
 {
     constexpr int kEvents = 2'000;
--- a/tests/radishswitch-gateway/leavingendpoints_test.cpp
+++ b/tests/radishswitch-gateway/leavingendpoints_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace RadishSwitch;
 
-/// Endpoints that say in their answers that they leave, while the list still calls them ready.
+/// Endpoints that announce in their answers that they are leaving, while the list still states that they are ready.
 class LeavingEndpointsTest : public GatewayFixture
 {
 protected:
@@ -32,7 +32,7 @@
         });
     }
 
-    /// Sends calls until the endpoint has answered one, and gives how many reached it in a second of calls after that.
+    /// Sends calls until the endpoint has received one, and returns how many reach it during the second after that.
     std::size_t arrivalsAfterNotice(const ReplicaServer &endpoint, const HttpRequest &prototype)
     {
         const std::size_t before = arrivalsAt(endpoint);
@@ -64,7 +64,7 @@
     int m_calls = 0;
 };
 
-// Guards against an endpoint that leaves and is sent calls for as long as the list lags.
+// Guards against a leaving endpoint that receives calls until the list is updated.
 TEST_F(LeavingEndpointsTest, endpointAnnouncesLeaving_receivesNoMoreCalls)
 {
     startWithBoth();
@@ -72,7 +72,7 @@
     EXPECT_EQ(arrivalsAfterNotice(first, request("/safe/1", "")), 0U);
 }
 
-// Guards against a word that is only read in answers that came whole.
+// Guards against an announcement that is only read from unstreamed answers.
 TEST_F(LeavingEndpointsTest, leavingInStreamHead_isRespected)
 {
     startWithBoth();
@@ -80,7 +80,7 @@
     EXPECT_EQ(arrivalsAfterNotice(first, streamRequest("/once/1", "")), 0U);
 }
 
-// Guards against a word that is not read in refusals.
+// Guards against an announcement that is not read from refusals.
 TEST_F(LeavingEndpointsTest, leavingInRefusal_isRespected)
 {
     startWithBoth();
@@ -91,7 +91,7 @@
     EXPECT_EQ(arrivalsAfterNotice(first, request("/order/1", "")), 0U);
 }
 
-// Guards against a list that is read anew and takes the word back, and against a gateway out of touch that forgets it.
+// Guards against a gateway that forgets the announcement when the list states again that the endpoint is ready.
 TEST_F(LeavingEndpointsTest, listingStillReady_endpointStaysLeaving)
 {
     startWithBoth();
@@ -111,7 +111,7 @@
     EXPECT_EQ(arrivalsAt(first), before);
 }
 
-// Guards against a later life under the same id and address that nobody uses.
+// Guards against a restarted endpoint with the same id and address that receives no calls.
 TEST_F(LeavingEndpointsTest, restartedEndpoint_receivesCalls)
 {
     startWithBoth();
--- a/tests/radishswitch-gateway/limitedendpoints_test.cpp
+++ b/tests/radishswitch-gateway/limitedendpoints_test.cpp
@@ -4,7 +4,8 @@
 
 using namespace RadishSwitch;
 
-/// Endpoints in need, which say in their answers how many calls a second they take from all gateways together.
+/// Overloaded endpoints that announce in their answers how many calls per second they accept from all gateways
+/// together.
 class LimitedEndpointsTest : public GatewayFixture
 {
 protected:
@@ -12,10 +13,10 @@
 
     static constexpr char kLimit[] = "1.5";
     static constexpr Duration kSpan = std::chrono::seconds(4);
-    /// Within this all gateways have to keep to a limit.
+    /// Maximum time until all gateways respect a new limit.
     static constexpr Duration kPropagationTime = std::chrono::seconds(3);
     static constexpr Duration kPause = Milliseconds(25);
-    /// Calls in the span: half as much again as the endpoint says, and five.
+    /// Maximum number of calls in the span: one and a half times the limit of the endpoint, and five more.
     static constexpr int kMaximumCalls = 14;
 
     void startBoth()
@@ -43,7 +44,7 @@
         });
     }
 
-    /// Sends calls to both gateways by turns, and gives how many of them ran at the first endpoint.
+    /// Sends calls to both gateways in turn, and returns how many of them ran at the first endpoint.
     int callsAtFirst(Duration span)
     {
         const int before = runsAtFirst();
@@ -61,7 +62,7 @@
     int m_calls = 0;
 };
 
-// Guards against an endpoint in need that is sent what it has no room for, and against one that is sent nothing.
+// Guards against an overloaded endpoint that receives more calls than its limit, and against one that receives none.
 TEST_F(LimitedEndpointsTest, endpointWithLimit_callsOfAllGatewaysStayWithinIt)
 {
     startBoth();
@@ -72,7 +73,7 @@
     EXPECT_GE(calls, 1);
 }
 
-// Guards against a limit that holds for ever, since its gateways send nothing that could tell its end.
+// Guards against a limit that never ends, because the gateways send no calls whose answers would show its end.
 TEST_F(LimitedEndpointsTest, limitWithdrawn_endpointReceivesCallsAgain)
 {
     startBoth();
@@ -83,7 +84,8 @@
     EXPECT_GE(callsAtFirst(kSpan), 2 * kMaximumCalls);
 }
 
-// Guards against an endpoint that is starved by what it says, and against a gateway that fails over it.
+// Guards against an endpoint that receives no calls because of a malformed limit, and against a gateway that fails on
+// one.
 TEST_F(LimitedEndpointsTest, malformedLimit_isIgnored)
 {
     startBoth();
@@ -93,7 +95,7 @@
     }
 }
 
-// Guards against an endpoint that is never sent a call again once it has named nothing at all.
+// Guards against an endpoint that never receives a call again after it has announced a limit of zero.
 TEST_F(LimitedEndpointsTest, limitOfZero_isProbedUntilWithdrawn)
 {
     startBoth();
--- a/tests/radishswitch-gateway/logsampler_test.cpp
+++ b/tests/radishswitch-gateway/logsampler_test.cpp
@@ -7,7 +7,7 @@
 class LogSamplerTest : public testing::Test
 {
 protected:
-    /// How many of `count` calls within one second are kept.
+    /// How many of `count` calls within one second are logged.
     int keptOf(int count)
     {
         int kept = 0;
@@ -20,7 +20,7 @@
     LogSampler sampler;
 };
 
-// Guards against lines that vanish without a word.
+// Guards against dropped lines that are not counted, so that the log does not show that lines are missing.
 TEST_F(LogSamplerTest, droppedLines_areCounted)
 {
     const int kept = keptOf(5'000);
@@ -41,7 +41,8 @@
     EXPECT_LT(kept, LogSampler::kLinesPerSecond + 5'000 / 8);
 }
 
-// A failed call is looked for in the logs of two processes. Which ordinary lines are kept must not differ between them.
+// Guards against processes that sample different calls: operators search for a failed call in the logs of two
+// processes.
 TEST_F(LogSamplerTest, twoProcesses_sampleTheSameCalls)
 {
     LogSampler other;
--- a/tests/radishswitch-gateway/partsettings_test.cpp
+++ b/tests/radishswitch-gateway/partsettings_test.cpp
@@ -7,8 +7,9 @@
 
 using namespace RadishSwitch;
 
-// A busy budget is near its end, and its home asks for nine seconds of use, which are more than what is left. The home
-// is killed, and what it holds is lost to the budget. What is left free has to carry the calls of the next seconds.
+// Guards against a nearly spent budget whose remaining tokens are all lost with one home. The home of a busy budget
+// asks for a portion for nine seconds of use, which is more than the budget has left, and is killed; its portion is
+// lost. The remaining free tokens have to cover the calls of the next seconds.
 TEST(PartSettingsTest, holderOfNearlySpentBudgetKilled_mostOfBudgetStaysFree)
 {
     SystemRandom random;
@@ -27,8 +28,7 @@
     EXPECT_GE(record.free(), kLeft * 3 / 4);
 }
 
-// A deployment sets a lower bound on further attempts than usual; gateways that kept to their own figure would exceed
-// it together.
+// Guards against gateways that together exceed a low retry bound because each uses a fixed share of its own.
 TEST(PartSettingsTest, lowRetryBound_shareOfGatewayStaysBelowIt)
 {
     GatewaySettings settings;
--- a/tests/radishswitch-gateway/platformadapter_test.cpp
+++ b/tests/radishswitch-gateway/platformadapter_test.cpp
@@ -140,8 +140,8 @@
     EXPECT_TRUE(listing->isLeaving);
 }
 
-// Another process writes into the list, or over an endpoint's entry. Were the gateway to guess at what it can't read,
-// calls would go to whatever listens there; so such an entry names no endpoint.
+// Guards against calls to an address from a malformed entry. Another process may write to the list or overwrite an
+// endpoint's entry. A gateway that guessed the missing fields would send calls to whatever listens at that address.
 TEST_F(PlatformAdapterTest, malformedEndpointEntry_isRejected)
 {
     const std::map<std::string, std::string> validFields{
@@ -204,7 +204,7 @@
     }
 }
 
-// Guards against a limit that is taken for another number, or for none.
+// Guards against a limit that is parsed as another number, and against a malformed limit that is not reported.
 TEST_F(PlatformAdapterTest, limitHeader_isParsedOrReportedUnreadable)
 {
     const auto read = [](const std::string &text) {
@@ -219,7 +219,7 @@
     EXPECT_TRUE(PlatformCallProtocol().readAnswer(200, {}).notice.unreadable.empty());
 }
 
-// Guards against calls on connections that their endpoint is about to close.
+// Guards against calls on idle connections that the endpoint is about to close.
 TEST_F(PlatformAdapterTest, keepAliveTimeout_isParsed)
 {
     const auto read = [](const std::string &text) {
@@ -233,7 +233,7 @@
     EXPECT_EQ(PlatformCallProtocol().readAnswer(200, {}).idleTimeout, std::nullopt);
 }
 
-// Guards against an endpoint's word that it leaves which is read in some answers and not in others.
+// Guards against an announcement of leaving that is read only from answers with certain statuses.
 TEST_F(PlatformAdapterTest, leavingHeader_isParsedForEveryStatus)
 {
     const auto read = [](const std::string &text, int status) {
@@ -250,7 +250,7 @@
     }
 }
 
-// Guards against a demand for backoff that is taken for another time, or for none.
+// Guards against a backoff that is parsed as another time, and against a malformed backoff that is not reported.
 TEST_F(PlatformAdapterTest, retryAfterOfRefusal_isParsedOrReportedUnreadable)
 {
     const auto read = [](const HttpHeaders &headers, int status = 503) {
@@ -292,7 +292,7 @@
     EXPECT_EQ(configuration->pools[0].coldCallsPerSecond, 18);
 }
 
-// Guards against a prompt that leaves its region, because the bound could not be read and was taken for none.
+// Guards against a prompt that leaves its allowed regions because an unreadable list of regions was treated as none.
 TEST_F(PlatformAdapterTest, unreadableRegions_makeConfigurationMalformed)
 {
     for (const char *regions : {R"("east")", "3", "[3]", "{}", "true"}) {
@@ -317,7 +317,7 @@
     }
 }
 
-// Guards against a number that overflows on its way to a span of time.
+// Guards against a number that overflows when it is converted to a duration.
 TEST_F(PlatformAdapterTest, hugeColdTime_isClamped)
 {
     const auto listing = catalogue.readEndpoint(endpointObject(R"({"service":"x","address":"10.0.0.1:80","zone":"a",)"
--- a/tests/radishswitch-gateway/poisonrequests_test.cpp
+++ b/tests/radishswitch-gateway/poisonrequests_test.cpp
@@ -7,19 +7,19 @@
 
 using namespace RadishSwitch;
 
-/// Requests that crash each endpoint that runs them, at gateways that know one another through the store.
+/// Requests that crash every endpoint that runs them, at gateways that exchange crash reports through the store.
 class PoisonRequestsTest : public GatewayFixture
 {
 protected:
     static constexpr char kPoison[] = "crashes engines";
     static constexpr int kEndpoints = 8;
-    /// Ends under one request until it is refused.
+    /// Number of crashes after which a request is barred.
     static constexpr int kCrashesUntilBarred = 3;
-    /// How soon after it all gateways have to know.
+    /// Maximum time until all gateways bar the request.
     static constexpr Duration kPropagationTime = std::chrono::seconds(3);
-    /// Runs that may be sent later than that.
+    /// Maximum number of crashes after that time.
     static constexpr int kMaximumLateRuns = 3;
-    /// Longer than the moment in which crashes may have a cause in common.
+    /// Pause between crashes, longer than the time within which crashes are attributed to a common cause.
     static constexpr Duration kPause = std::chrono::milliseconds(700);
 
     PoisonRequestsTest()
@@ -33,7 +33,7 @@
         }
     }
 
-    // The endpoints end before the rest of the fixture: nothing may use them any more.
+    // The endpoints are destroyed before the members of the base class, so everything that uses them is stopped first.
     ~PoisonRequestsTest() override
     {
         otherGateway.reset();
@@ -41,8 +41,8 @@
         testServers.stop();
     }
 
-    /// Of this process alone: on an address that others use too, one of them may get the port of an endpoint that has
-    /// crashed, and take connections there.
+    /// The address of an endpoint, which only this process uses. On a shared address another process could get the port
+    /// of a crashed endpoint and accept connections there.
     static std::string address(int n)
     {
         const int process = ::getpid();
@@ -53,7 +53,7 @@
     GatewaySettings gatewaySettings() override
     {
         GatewaySettings settings = GatewayFixture::gatewaySettings();
-        // A busy machine is no reason to refuse what is looked at here.
+        // Calls must not be refused because the test machine is busy.
         settings.takesAllCalls = true;
         return settings;
     }
@@ -86,7 +86,7 @@
         });
     }
 
-    /// Sends the request until so many endpoints have ended under it.
+    /// Sends the poison request until `count` endpoints have crashed.
     void crash(Gateway &to, int count, Duration pause = kPause)
     {
         while (crashes() < count) {
@@ -103,12 +103,12 @@
         return response.ok() && response->body.find("\nradishswitch_requests_barred 1") != std::string::npos;
     }
 
-    /// Waits until a gateway refuses the request, for as long as it may take.
+    /// Waits until a gateway has barred the request; fails the test after `kPropagationTime`.
     void waitUntilBarred(const Gateway &it)
     {
         const auto end = std::chrono::steady_clock::now() + kPropagationTime;
         while (!hasBarred(it)) {
-            ASSERT_LT(std::chrono::steady_clock::now(), end) << "it is not barred";
+            ASSERT_LT(std::chrono::steady_clock::now(), end) << "the request was not barred in time";
             std::this_thread::sleep_for(std::chrono::milliseconds(20));
         }
     }
@@ -119,7 +119,7 @@
     int m_calls = 0;
 };
 
-// Guards against a request that ends one endpoint after the other as often as it is repeated.
+// Guards against a repeated request that crashes one endpoint after another.
 TEST_F(PoisonRequestsTest, requestThatCrashedThreeEndpoints_isRefusedUnsent)
 {
     startTwo();
@@ -138,7 +138,7 @@
     EXPECT_EQ(served->status, 200) << served->body;
 }
 
-// Guards against repeats that come to a gateway which saw none of the crashes.
+// Guards against a repeated request at a gateway that saw none of the crashes.
 TEST_F(PoisonRequestsTest, requestThatCrashedEndpointsOfAnotherGateway_isRefusedUnsent)
 {
     startTwo();
@@ -150,7 +150,7 @@
     EXPECT_EQ(crashes(), kCrashesUntilBarred);
 }
 
-// Guards against a count at each gateway alone, where each would have to see three crashes for itself.
+// Guards against crashes that each gateway counts alone, so that each would have to see three crashes itself.
 TEST_F(PoisonRequestsTest, requestThatCrashedEndpointsOfTwoGateways_isRefusedAtBoth)
 {
     startTwo();
@@ -165,13 +165,14 @@
     EXPECT_EQ(crashes(), kCrashesUntilBarred);
 }
 
-// Guards against a gateway that forgets with its restart what the fleet knows.
+// Guards against a gateway that no longer knows the barred requests after a restart.
 TEST_F(PoisonRequestsTest, gatewayStartedAfterTheCrashes_refusesTheRequest)
 {
     startTwo();
     crash(*gateway, kCrashesUntilBarred);
     waitUntilBarred(*gateway);
-    // Until then others can't know.
+    // The other gateway knows the request only once it has read it from the store, where the restarted one finds it
+    // too.
     waitUntilBarred(*otherGateway);
     start();
     waitUntilBarred(*gateway);
@@ -181,7 +182,7 @@
     EXPECT_EQ(crashes(), kCrashesUntilBarred);
 }
 
-// Guards against a request that is repeated faster than its crashes can be told from a loss of power.
+// Guards against a request that is repeated so fast that its crashes look like a power loss.
 TEST_F(PoisonRequestsTest, rapidlyRepeatedPoisonRequest_isSentAtMostThreeTimesLater)
 {
     startTwo();
--- a/tests/radishswitch-gateway/silentendpoints_test.cpp
+++ b/tests/radishswitch-gateway/silentendpoints_test.cpp
@@ -6,23 +6,22 @@
 
 using namespace RadishSwitch;
 
-/// Calls whose endpoint says nothing for a while: it pauses and goes on, or hangs for good.
+/// Calls whose endpoint sends nothing for a while: it either pauses and continues, or hangs for good.
 ///
-/// Calls go to the first endpoint as long as they may, since the second one is in another availability zone, very far
-/// away.
+/// Calls go to the first endpoint whenever possible, since the second endpoint is in a very distant availability zone.
 class SilentEndpointsTest : public GatewayFixture
 {
 protected:
     using Fault = ReplicaServer::Fault;
 
     static constexpr Duration kPatience = std::chrono::milliseconds(2500);
-    /// What a call that ends at its deadline may be late by, and what it may end sooner for its way to the caller.
+    /// How late a call that ends at its deadline may be, and how much earlier it may end to allow for the transfer.
     static constexpr Duration kSlack = std::chrono::milliseconds(500);
     static constexpr Duration kTravel = std::chrono::milliseconds(50);
 
     void SetUp() override
     {
-        // A pause that a gateway bears anyway would prove nothing.
+        // The pause has to be longer than the silence after which the gateway looks for another endpoint.
         ASSERT_GT(ReplicaSettings().pause, CallTimes().eventSilenceTimeout);
     }
 
@@ -37,7 +36,7 @@
         return settings;
     }
 
-    /// Lists a second endpoint at an address. Before the gateway starts, so that it is known when that is ready.
+    /// Lists a second endpoint on a port. To be called before the gateway starts, so that a ready gateway knows it.
     void listSecond(std::uint16_t port)
     {
         onTestServers([this, port] {
@@ -47,7 +46,7 @@
         });
     }
 
-    /// A port at which nobody takes connections, and which no other process gets meanwhile.
+    /// A port that refuses connections and that no other process can get during the test.
     std::uint16_t closedPort()
     {
         unusedSocket.open(boost::asio::ip::tcp::v4());
@@ -70,7 +69,7 @@
         });
     }
 
-    /// What a caller with little patience sees, who waits a little longer than that.
+    /// Makes a call with the timeout `kPatience`, and waits a little longer than that for its answer.
     absl::StatusOr<HttpResponse> callWithPatience(HttpRequest request)
     {
         HttpHeaders headers;
@@ -84,7 +83,7 @@
         request.headers = std::move(headers);
         const auto begin = std::chrono::steady_clock::now();
         auto response = fetchFrom(gateway->port(), std::move(request), kPatience + kSlack);
-        EXPECT_GE(std::chrono::steady_clock::now() - begin, kPatience - kTravel) << "it was given up early";
+        EXPECT_GE(std::chrono::steady_clock::now() - begin, kPatience - kTravel) << "the call was given up early";
         return response;
     }
 
@@ -109,11 +108,11 @@
     boost::asio::ip::tcp::socket unusedSocket{sockets};
 };
 
-// The only endpoint pauses in the middle of a stream, for longer than the gateway waits for an event, and goes on. The
-// caller gets the whole stream: nobody else could have given it the rest, and the deadline is seconds away. The gateway
-// used to close the connection at 1.2 s of silence and to ask only then for another attempt, of which there was none:
-// "attempt failed", silent_for 1200.5ms, noticed_late 0.12ms, unread 0, time_left 7387ms, and in the same millisecond
-// "call failed", status 200, further_attempt retry_budget_spent.
+// Guards against a gateway that drops a paused endpoint although no other endpoint can continue the stream. The only
+// endpoint pauses in the middle of a stream for longer than the gateway waits for an event, and then continues, seconds
+// before the deadline. The gateway once closed the connection after 1.2 s of silence and only then found that no
+// further attempt was allowed. It logged "attempt failed" with silent_for 1200.5ms, noticed_late 0.12ms, unread 0 and
+// time_left 7387ms, and in the same millisecond "call failed" with status 200 and further_attempt retry_budget_spent.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayAtOnlyEndpoint_isRelayedWhole)
 {
     addFault(first, Fault::PauseMidway);
@@ -122,8 +121,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// The same where another endpoint has room and no further attempt may be made, since too many were made already. The
-// caller gets the whole stream from the endpoint that is at work on it.
+// As above, while another endpoint is available but the retry budget is spent. The caller gets the whole stream from
+// the first endpoint.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayWithRetryBudgetSpent_isRelayedWholeByOneRun)
 {
     isRetryBudgetSpent = true;
@@ -134,8 +133,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// The same where the other endpoint is full: asked for the rest, it refuses. The caller gets the whole stream from the
-// first endpoint, which has not ended and goes on.
+// As above, while the other endpoint is full and refuses to continue the stream. The caller gets the whole stream from
+// the first endpoint.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayWhileOtherRefuses_isRelayedWholeByOneRun)
 {
     listSecond(second.port());
@@ -146,8 +145,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// The same where the other endpoint is listed and gone: nobody takes connections at its address. The caller gets the
-// whole stream from the first endpoint.
+// As above, while the other endpoint is listed but its address refuses connections. The caller gets the whole stream
+// from the first endpoint.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayWhileOtherRefusesConnections_isRelayedWholeByOneRun)
 {
     listSecond(closedPort());
@@ -157,8 +156,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// The same where the other endpoint takes the call and hangs. It refuses nothing, and never answers; the caller gets
-// the whole stream from the first endpoint, which is kept until the other has begun to answer.
+// As above, while the other endpoint accepts the call and hangs. The caller gets the whole stream from the first
+// endpoint, whose connection is kept until the other endpoint has begun to answer.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayWhileOtherHangs_isRelayedWhole)
 {
     listSecond(second.port());
@@ -171,8 +170,8 @@
     });
 }
 
-// The same where the pause comes before the first byte.
-// The caller gets the first endpoint's answer, and the run that hangs is left.
+// Guards against a lost answer when the first endpoint pauses before its first byte and the other endpoint hangs. The
+// caller gets the answer of the first endpoint, and the hanging run is cancelled.
 TEST_F(SilentEndpointsTest, stream_pausesBeforeHeadWhileOtherHangs_isRelayedWhole)
 {
     listSecond(second.port());
@@ -185,8 +184,8 @@
     });
 }
 
-// The only endpoint says nothing before the first byte of a stream, for longer than the gateway waits for it, and then
-// answers. The caller gets the answer and not a 504 with seconds left.
+// Guards against a 504 seconds before the deadline. The only endpoint sends nothing before the first byte of a stream
+// for longer than the gateway waits for it, and then answers.
 TEST_F(SilentEndpointsTest, stream_pausesBeforeHeadAtOnlyEndpoint_isRelayedWhole)
 {
     addFault(first, Fault::PauseFirst);
@@ -195,8 +194,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// The same with a head that comes at once and a first event that does not. The gateway has an answer and the caller has
-// nothing of it yet.
+// As above, with a head that arrives at once and a first event that arrives late. The gateway has the head of an
+// answer, of which the caller has received nothing yet.
 TEST_F(SilentEndpointsTest, stream_pausesAfterHeadAtOnlyEndpoint_isRelayedWhole)
 {
     addFault(first, Fault::PauseBehindHead);
@@ -205,8 +204,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// The same where another endpoint has room and no further attempt may be made. The caller gets the answer of the one
-// run.
+// Guards against a 504 while another endpoint is available but the retry budget is spent. The caller gets the answer of
+// the only run.
 TEST_F(SilentEndpointsTest, stream_pausesBeforeHeadWithRetryBudgetSpent_isRelayedWholeByOneRun)
 {
     isRetryBudgetSpent = true;
@@ -217,8 +216,7 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// A call that is answered as a whole meets the same pause at the only endpoint. The caller gets the answer and not a
-// 504 with seconds left.
+// Guards against a 504 seconds before the deadline for an unstreamed call whose only endpoint pauses before it answers.
 TEST_F(SilentEndpointsTest, safeCall_pausesBeforeHeadAtOnlyEndpoint_isAnswered)
 {
     addFault(first, Fault::PauseFirst);
@@ -227,8 +225,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// The same where another endpoint has room and no further attempt may be made.
-// The caller gets the answer of the one run.
+// As above, while another endpoint is available but the retry budget is spent. The caller gets the answer of the only
+// run.
 TEST_F(SilentEndpointsTest, safeCall_pausesBeforeHeadWithRetryBudgetSpent_isAnsweredByOneRun)
 {
     isRetryBudgetSpent = true;
@@ -239,8 +237,7 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// The same where the other endpoint is full: asked as well, it refuses.
-// The caller gets the first endpoint's answer.
+// As above, while the other endpoint is full and refuses the call. The caller gets the answer of the first endpoint.
 TEST_F(SilentEndpointsTest, safeCall_pausesBeforeHeadWhileOtherRefuses_isAnsweredByOneRun)
 {
     listSecond(second.port());
@@ -251,8 +248,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// The same where nobody takes connections at the other endpoint's address.
-// The caller gets the first endpoint's answer.
+// As above, while the address of the other endpoint refuses connections. The caller gets the answer of the first
+// endpoint.
 TEST_F(SilentEndpointsTest, safeCall_pausesBeforeHeadWhileOtherRefusesConnections_isAnsweredByOneRun)
 {
     listSecond(closedPort());
@@ -262,8 +259,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// An endpoint hangs for good in the middle of a stream, and another has room. The caller sees no gap and no event
-// twice: the other goes on behind the last event. The run that hangs is left, so that it works for nobody no longer.
+// Guards against gaps and repeated events when an endpoint hangs for good in the middle of a stream. The other endpoint
+// continues after the last event, and the hanging run is cancelled so that it does not go on for nobody.
 TEST_F(SilentEndpointsTest, stream_hangsMidwayAndOtherHasRoom_continuesThereAndFirstRunIsCancelled)
 {
     listSecond(second.port());
@@ -276,8 +273,7 @@
     });
 }
 
-// The same with a call that is answered as a whole: the other endpoint answers it, and the run that hangs is left.
-// The caller sees a late answer.
+// As above, for an unstreamed call: the other endpoint answers it late, and the hanging run is cancelled.
 TEST_F(SilentEndpointsTest, safeCall_hangsAndOtherHasRoom_isAnsweredThereAndFirstRunIsCancelled)
 {
     listSecond(second.port());
@@ -290,8 +286,8 @@
     });
 }
 
-// An endpoint pauses in the middle of a stream, another has room, and the first goes on later. Whichever of them gives
-// the rest, the caller gets each event once and in order.
+// Guards against lost, repeated or reordered events when the first endpoint pauses in the middle of a stream and
+// continues later, while another endpoint is available. Either endpoint may deliver the rest.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayAndOtherHasRoom_hasEachEventOnce)
 {
     listSecond(second.port());
@@ -300,8 +296,7 @@
     expectWholeStream();
 }
 
-// An endpoint pauses in the middle of a stream, and so does the one that is asked to go on. The caller gets each event
-// once and in order, whichever gave it.
+// Guards against lost, repeated or reordered events when both endpoints pause in the middle of the stream.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayAtBothEndpoints_hasEachEventOnce)
 {
     listSecond(second.port());
@@ -311,21 +306,21 @@
     expectWholeStream();
 }
 
-// The only endpoint hangs for good in the middle of a stream. The caller is not left waiting for longer than it said:
-// by its deadline the stream is cut, and does not look complete.
+// Guards against a caller that waits longer than its timeout. The only endpoint hangs for good in the middle of a
+// stream. By the deadline the gateway has to abort the stream, which must not look complete.
 TEST_F(SilentEndpointsTest, stream_hangsMidwayAtOnlyEndpoint_isAbortedByDeadline)
 {
     addFault(first, Fault::HangMidway);
     start();
     const auto response = callWithPatience(streamRequest("/resumable/a", "call-1"));
     ASSERT_FALSE(response.ok()) << response->status << ' ' << response->body;
-    // Had the caller given up by itself, it would be for silence.
+    // If the caller had given up by itself, the failure code would be ConnectionSilent.
     EXPECT_EQ(failureCode(response.status()), FailureCode::ConnectionLost) << response.status();
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// The only endpoint never answers a call. The caller is told so by its deadline, with a status that promises nothing:
-// the call has run.
+// Guards against a wrong "not run" status. The only endpoint runs the call and never answers. By the deadline the
+// caller has to be told with a status that leaves the outcome open.
 TEST_F(SilentEndpointsTest, safeCall_hangsAtOnlyEndpoint_isRefusedByDeadline)
 {
     addFault(first, Fault::Hang);
@@ -336,8 +331,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// Guards against work for nobody at an endpoint that stands still: callers leave a stream without a first event after
-// two seconds, whatever their deadline, and a close that comes then is read seconds later.
+// Guards against wasted work at a stalled endpoint. Callers disconnect from a stream without a first event after two
+// seconds, whatever their deadline, and a stalled endpoint notices a close that comes then only seconds later.
 TEST_F(SilentEndpointsTest, stream_hangsBeforeHeadAtOnlyEndpoint_isRefusedBeforeCallerGivesUp)
 {
     addFault(first, Fault::Hang);
@@ -348,6 +343,6 @@
     ASSERT_TRUE(response.ok()) << response.status();
     EXPECT_EQ(response->status, 504) << response->body;
     EXPECT_LT(taken, std::chrono::milliseconds(2000));
-    EXPECT_GT(taken, std::chrono::milliseconds(1800)) << "it was given up early";
+    EXPECT_GT(taken, std::chrono::milliseconds(1800)) << "the call was given up early";
     EXPECT_EQ(runs("call-1"), 1);
 }
