--- a/tests/radishswitch-gateway/silentendpoints_test.cpp
+++ b/tests/radishswitch-gateway/silentendpoints_test.cpp
@@ -121,8 +121,9 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// As above, while another endpoint is available but the retry budget is spent. The caller gets the whole stream from
-// the first endpoint.
+// Guards against a gateway that drops a paused endpoint although the retry budget is spent. Another endpoint is
+// available, but must not be used. The caller gets the whole stream from the first endpoint, which continues after its
+// pause.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayWithRetryBudgetSpent_isRelayedWholeByOneRun)
 {
     isRetryBudgetSpent = true;
@@ -133,8 +134,9 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// As above, while the other endpoint is full and refuses to continue the stream. The caller gets the whole stream from
-// the first endpoint.
+// Guards against a gateway that drops a paused endpoint before another one has taken the stream over. The other
+// endpoint is full and refuses. The caller gets the whole stream from the first endpoint, which continues after its
+// pause.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayWhileOtherRefuses_isRelayedWholeByOneRun)
 {
     listSecond(second.port());
@@ -145,8 +147,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// As above, while the other endpoint is listed but its address refuses connections. The caller gets the whole stream
-// from the first endpoint.
+// Guards against a gateway that drops a paused endpoint before another one has taken the stream over. The other
+// endpoint is listed, but its address refuses connections. The caller gets the whole stream from the first endpoint.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayWhileOtherRefusesConnections_isRelayedWholeByOneRun)
 {
     listSecond(closedPort());
@@ -156,8 +158,9 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// As above, while the other endpoint accepts the call and hangs. The caller gets the whole stream from the first
-// endpoint, whose connection is kept until the other endpoint has begun to answer.
+// Guards against a gateway that drops a paused endpoint before the other one has begun to answer. The other endpoint
+// accepts the call and hangs. The caller gets the whole stream from the first endpoint, and the hanging run is
+// cancelled.
 TEST_F(SilentEndpointsTest, stream_pausesMidwayWhileOtherHangs_isRelayedWhole)
 {
     listSecond(second.port());
@@ -194,8 +197,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// As above, with a head that arrives at once and a first event that arrives late. The gateway has the head of an
-// answer, of which the caller has received nothing yet.
+// Guards against a 504 seconds before the deadline. The only endpoint sends the head of a stream at once and its first
+// event only after a pause, so that the gateway has the head of an answer of which the caller has received nothing yet.
 TEST_F(SilentEndpointsTest, stream_pausesAfterHeadAtOnlyEndpoint_isRelayedWhole)
 {
     addFault(first, Fault::PauseBehindHead);
@@ -225,8 +228,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// As above, while another endpoint is available but the retry budget is spent. The caller gets the answer of the only
-// run.
+// Guards against a 504 for an unstreamed call whose endpoint pauses while the retry budget is spent. Another endpoint
+// is available, but must not be used. The caller gets the answer of the only run.
 TEST_F(SilentEndpointsTest, safeCall_pausesBeforeHeadWithRetryBudgetSpent_isAnsweredByOneRun)
 {
     isRetryBudgetSpent = true;
@@ -237,7 +240,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// As above, while the other endpoint is full and refuses the call. The caller gets the answer of the first endpoint.
+// Guards against a 504 for an unstreamed call whose endpoint pauses while the other endpoint is full and refuses the
+// call. The caller gets the answer of the first endpoint.
 TEST_F(SilentEndpointsTest, safeCall_pausesBeforeHeadWhileOtherRefuses_isAnsweredByOneRun)
 {
     listSecond(second.port());
@@ -248,8 +252,8 @@
     EXPECT_EQ(runs("call-1"), 1);
 }
 
-// As above, while the address of the other endpoint refuses connections. The caller gets the answer of the first
-// endpoint.
+// Guards against a 504 for an unstreamed call whose endpoint pauses while the address of the other endpoint refuses
+// connections. The caller gets the answer of the first endpoint.
 TEST_F(SilentEndpointsTest, safeCall_pausesBeforeHeadWhileOtherRefusesConnections_isAnsweredByOneRun)
 {
     listSecond(closedPort());
@@ -273,7 +277,8 @@
     });
 }
 
-// As above, for an unstreamed call: the other endpoint answers it late, and the hanging run is cancelled.
+// Guards against an unstreamed call that fails when its endpoint hangs for good while another endpoint is available.
+// The other endpoint answers the call late, and the hanging run is cancelled.
 TEST_F(SilentEndpointsTest, safeCall_hangsAndOtherHasRoom_isAnsweredThereAndFirstRunIsCancelled)
 {
     listSecond(second.port());
