--- a/src/gateway/crashreports.h
+++ b/src/gateway/crashreports.h
@@ -13,12 +13,12 @@
 namespace RadishSwitch
 {
 
-/// Keys of the objects by which gateways tell one another of crashes and of barred requests. Each is written once and
-/// never changed.
-inline constexpr char kCrashKeys[] = "news/crash.";
+/// Key prefix of the objects by which gateways exchange crash reports and barred requests. Each object is written once
+/// and never changed.
+inline constexpr char kCrashPrefix[] = "news/crash.";
 
-/// Brings what the gateways of the fleet know of crashes together, through the platform's store: whoever reaches it
-/// knows the same, also after a restart or a cut.
+/// Shares crash reports among the gateways through the platform's store. Every gateway that can reach the store has the
+/// same reports, also after a restart or a network partition.
 class CrashReports : public ObjectListener
 {
 public:
@@ -26,12 +26,13 @@
                  PoisonDetector &detector);
     ~CrashReports() override;
 
-    /// Holds here at once, and elsewhere as soon as it is written.
+    /// The report takes effect in this gateway at once, and in the others once it is written to the store.
     void addCrashed(const CrashedRun &run);
+    /// As `addCrashed`, for a request with earlier crashes that an endpoint has now answered completely.
     void addAnswered(const RequestFingerprint &request);
 
-    /// Removes what is remembered no longer.
-    void removeOld();
+    /// Removes objects from the store whose retention period is over.
+    void removeExpired();
 
     void objectsListed(const std::vector<StoredObject> &objects) override;
     void objectsChanged(const std::vector<StoredObject> &objects) override;
@@ -45,24 +46,24 @@
     void add(const CrashReport &part);
     void flush();
     void write(const std::string &key, const std::string &value, int failures);
-    void takeIn(const StoredObject &object);
+    void applyObject(const StoredObject &object);
     void forget(const std::string &key);
     void noteBarred(const std::vector<RequestFingerprint> &requests);
-    void tellBarred(const RequestFingerprint &request);
-    Duration jitter(Duration most);
+    void writeBarred(const RequestFingerprint &request);
+    Duration jitter(Duration maximum);
 
     ObjectStore &m_store;
     TimerService &m_timers;
     RandomSource &m_random;
     const std::string m_instance;
     PoisonDetector &m_detector;
-    /// What is not written yet, and the key that it will have.
+    /// The report that is not written yet, and the key that it will have in the store.
     CrashReport m_pending;
     std::string m_pendingKey;
     TimerId m_timer = 0;
     std::map<std::string, Known> m_known;
-    /// Keys of this process's own reports that have not come back from the store yet.
-    std::set<std::string> m_own;
+    /// Keys of this gateway's own reports that the watch of the store has not returned yet.
+    std::set<std::string> m_ownReports;
     std::shared_ptr<int> m_alive = std::make_shared<int>(0);
 };
 
--- a/src/gateway/endpointlistener.h
+++ b/src/gateway/endpointlistener.h
@@ -11,11 +11,11 @@
 namespace RadishSwitch
 {
 
-/// Brings the platform's list of endpoints into the gate's registry.
+/// Copies the platform's list of endpoints into the registry of the call gate.
 class EndpointListener : public ObjectListener
 {
 public:
-    /// `onUnlisted` hears of endpoints that take no new calls any more.
+    /// `onUnlisted` is called for endpoints that left the list, are leaving, or have restarted.
     EndpointListener(const ServingCatalogue &catalogue, CallGate &gate, TimerService &timers,
                      std::function<void(const EndpointId &)> onUnlisted);
 
@@ -24,18 +24,18 @@
 
 private:
     std::optional<EndpointListing> read(const StoredObject &object);
-    static void boundColdSpan(EndpointListing &listing);
+    static void limitColdTime(EndpointListing &listing);
     void apply(const StoredObject &object);
-    void take(const EndpointListing &listing, std::uint64_t revision);
+    void applyListing(const EndpointListing &listing, std::uint64_t revision);
     void unlist(const EndpointId &endpoint);
-    void noteReborn(const EndpointId &endpoint);
+    void handleRestart(const EndpointId &endpoint);
 
     const ServingCatalogue &m_catalogue;
     CallGate &m_gate;
     TimerService &m_timers;
     const std::function<void(const EndpointId &)> m_onUnlisted;
-    /// Keys of entries that can't be read and were told of.
-    absl::flat_hash_set<std::string> m_unreadable;
+    /// Keys of unreadable entries that have been logged.
+    absl::flat_hash_set<std::string> m_loggedUnreadable;
 };
 
 }
--- a/src/gateway/poisonguard.cpp
+++ b/src/gateway/poisonguard.cpp
@@ -10,10 +10,11 @@
 namespace
 {
 
-/// About as long as crashes are remembered: sooner the request is refused again.
+/// About the retention period of crashes. A request that is repeated sooner is refused again.
 constexpr std::chrono::milliseconds kRetryAfter = std::chrono::minutes(10);
-/// The news of an answer matters from here on: one more crash may bar the request.
-constexpr std::size_t kCrashesWorthClearing = 2;
+/// A complete answer is reported to the other gateways if the request has at least this many crashes, since one more
+/// crash may bar it.
+constexpr std::size_t kMinimumCrashesToReport = 2;
 
 }
 
@@ -30,19 +31,19 @@
     if (!m_detector.isBarred(request)) {
         return absl::OkStatus();
     }
-    return makeFailure(FailureCode::PoisonRequest, "endpoints have crashed under this request", kRetryAfter);
+    return makeFailure(FailureCode::PoisonRequest, "endpoints have crashed while running this request", kRetryAfter);
 }
 
 void PoisonGuard::noteBroken(const CrashedRun &run, const std::string &address)
 {
-    m_probe.ask(run.incarnation, address, [this, run] {
+    m_probe.notifyIfCrashed(run.incarnation, address, [this, run] {
         m_reports.addCrashed(run);
     });
 }
 
 void PoisonGuard::noteAnswered(const RequestFingerprint &request)
 {
-    if (m_detector.isBarred(request) || m_detector.crashes(request) >= kCrashesWorthClearing) {
+    if (m_detector.isBarred(request) || m_detector.crashes(request) >= kMinimumCrashesToReport) {
         m_reports.addAnswered(request);
     }
 }
--- a/tests/radishswitch-gateway/poisonrequests_test.cpp
+++ b/tests/radishswitch-gateway/poisonrequests_test.cpp
@@ -7,19 +7,19 @@
 
 using namespace RadishSwitch;
 
-/// Requests that crash each endpoint that runs them, at gateways that know one another through the store.
+/// Requests that crash every endpoint that runs them, at gateways that exchange crash reports through the store.
 class PoisonRequestsTest : public GatewayFixture
 {
 protected:
     static constexpr char kPoison[] = "crashes engines";
     static constexpr int kEndpoints = 8;
-    /// Ends under one request until it is refused.
-    static constexpr int kEnoughEnds = 3;
-    /// How soon after it all gateways have to know.
-    static constexpr Duration kKnownWithin = std::chrono::seconds(3);
-    /// Runs that may be sent later than that.
-    static constexpr int kMostLater = 3;
-    /// Longer than the moment in which crashes may have a cause in common.
+    /// Number of crashes after which a request is barred.
+    static constexpr int kCrashesUntilBarred = 3;
+    /// Maximum time until all gateways bar the request.
+    static constexpr Duration kPropagationTime = std::chrono::seconds(3);
+    /// Maximum number of crashes after that time.
+    static constexpr int kMaximumLateRuns = 3;
+    /// Pause between crashes, longer than the time within which crashes are attributed to a common cause.
     static constexpr Duration kPause = std::chrono::milliseconds(700);
 
     PoisonRequestsTest()
@@ -28,21 +28,21 @@
             ReplicaSettings settings;
             settings.id = "engine-" + std::to_string(n);
             settings.crashingBody = kPoison;
-            endpoints.emplace_back(standins, settings);
+            endpoints.emplace_back(testServers, settings);
             EXPECT_TRUE(endpoints.back().listen(address(n), 0).ok());
         }
     }
 
-    // The endpoints end before the rest of the fixture: nothing may use them any more.
+    // The endpoints are destroyed before the members of the base class, so everything that uses them is stopped first.
     ~PoisonRequestsTest() override
     {
-        other.reset();
+        otherGateway.reset();
         gateway.reset();
-        standins.stop();
+        testServers.stop();
     }
 
-    /// Of this process alone: on an address that others use too, one of them may get the port of an endpoint that has
-    /// crashed, and take connections there.
+    /// The address of an endpoint, which only this process uses. On a shared address another process could get the port
+    /// of a crashed endpoint and accept connections there.
     static std::string address(int n)
     {
         const int process = ::getpid();
@@ -53,14 +53,14 @@
     GatewaySettings gatewaySettings() override
     {
         GatewaySettings settings = GatewayFixture::gatewaySettings();
-        // A busy machine is no reason to refuse what is looked at here.
+        // Calls must not be refused because the test machine is busy.
         settings.takesAllCalls = true;
         return settings;
     }
 
     void startTwo()
     {
-        onStandins([this] {
+        onTestServers([this] {
             store.table().remove("servers", "replica-1", std::nullopt);
             for (int n = 0; n < kEndpoints; ++n) {
                 Json entry = endpointEntry(endpoints[n].port(), "ready");
@@ -81,12 +81,12 @@
 
     int crashes()
     {
-        return onStandins([this] {
+        return onTestServers([this] {
             return static_cast<int>(std::ranges::count_if(endpoints, &ReplicaServer::hasCrashed));
         });
     }
 
-    /// Sends the request until so many endpoints have ended under it.
+    /// Sends the poison request until `count` endpoints have crashed.
     void crash(Gateway &to, int count, Duration pause = kPause)
     {
         while (crashes() < count) {
@@ -103,12 +103,12 @@
         return response.ok() && response->body.find("\nradishswitch_requests_barred 1") != std::string::npos;
     }
 
-    /// Waits until a gateway refuses the request, for as long as it may take.
+    /// Waits until a gateway has barred the request; fails the test after `kPropagationTime`.
     void waitUntilBarred(const Gateway &it)
     {
-        const auto end = std::chrono::steady_clock::now() + kKnownWithin;
+        const auto end = std::chrono::steady_clock::now() + kPropagationTime;
         while (!hasBarred(it)) {
-            ASSERT_LT(std::chrono::steady_clock::now(), end) << "it is not barred";
+            ASSERT_LT(std::chrono::steady_clock::now(), end) << "the request was not barred in time";
             std::this_thread::sleep_for(std::chrono::milliseconds(20));
         }
     }
@@ -119,11 +119,11 @@
     int m_calls = 0;
 };
 
-// Guards against a request that ends one endpoint after the other as often as it is repeated.
+// Guards against a repeated request that crashes one endpoint after another.
 TEST_F(PoisonRequestsTest, requestThatCrashedThreeEndpoints_isRefusedUnsent)
 {
     startTwo();
-    crash(*gateway, kEnoughEnds);
+    crash(*gateway, kCrashesUntilBarred);
     waitUntilBarred(*gateway);
     for (int n = 0; n < 3; ++n) {
         const auto refused = send(*gateway, "/once/1", kPoison);
@@ -132,65 +132,66 @@
         EXPECT_TRUE(refused->headers.find("Retry-After").has_value());
         EXPECT_NE(refused->body.find("\"not_run\""), std::string::npos) << refused->body;
     }
-    EXPECT_EQ(crashes(), kEnoughEnds);
+    EXPECT_EQ(crashes(), kCrashesUntilBarred);
     const auto served = send(*gateway, "/safe/1", "hello");
     ASSERT_TRUE(served.ok()) << served.status();
     EXPECT_EQ(served->status, 200) << served->body;
 }
 
-// Guards against repeats that come to a gateway which saw none of the crashes.
+// Guards against a repeated request at a gateway that saw none of the crashes.
 TEST_F(PoisonRequestsTest, requestThatCrashedEndpointsOfAnotherGateway_isRefusedUnsent)
 {
     startTwo();
-    crash(*gateway, kEnoughEnds);
-    waitUntilBarred(*other);
-    const auto refused = send(*other, "/once/1", kPoison);
+    crash(*gateway, kCrashesUntilBarred);
+    waitUntilBarred(*otherGateway);
+    const auto refused = send(*otherGateway, "/once/1", kPoison);
     ASSERT_TRUE(refused.ok()) << refused.status();
     EXPECT_EQ(refused->status, 429) << refused->body;
-    EXPECT_EQ(crashes(), kEnoughEnds);
+    EXPECT_EQ(crashes(), kCrashesUntilBarred);
 }
 
-// Guards against a count at each gateway alone, where each would have to see three crashes for itself.
+// Guards against crashes that each gateway counts alone, so that each would have to see three crashes itself.
 TEST_F(PoisonRequestsTest, requestThatCrashedEndpointsOfTwoGateways_isRefusedAtBoth)
 {
     startTwo();
     crash(*gateway, 2);
-    crash(*other, kEnoughEnds);
-    for (Gateway *it : {gateway.get(), other.get()}) {
+    crash(*otherGateway, kCrashesUntilBarred);
+    for (Gateway *it : {gateway.get(), otherGateway.get()}) {
         waitUntilBarred(*it);
         const auto refused = send(*it, "/once/1", kPoison);
         ASSERT_TRUE(refused.ok()) << refused.status();
         EXPECT_EQ(refused->status, 429) << refused->body;
     }
-    EXPECT_EQ(crashes(), kEnoughEnds);
+    EXPECT_EQ(crashes(), kCrashesUntilBarred);
 }
 
-// Guards against a gateway that forgets with its restart what the fleet knows.
+// Guards against a gateway that no longer knows the barred requests after a restart.
 TEST_F(PoisonRequestsTest, gatewayStartedAfterTheCrashes_refusesTheRequest)
 {
     startTwo();
-    crash(*gateway, kEnoughEnds);
+    crash(*gateway, kCrashesUntilBarred);
     waitUntilBarred(*gateway);
-    // Until then others can't know.
-    waitUntilBarred(*other);
+    // The other gateway knows the request only once it has read it from the store, where the restarted one finds it
+    // too.
+    waitUntilBarred(*otherGateway);
     start();
     waitUntilBarred(*gateway);
     const auto refused = send(*gateway, "/once/1", kPoison);
     ASSERT_TRUE(refused.ok()) << refused.status();
     EXPECT_EQ(refused->status, 429) << refused->body;
-    EXPECT_EQ(crashes(), kEnoughEnds);
+    EXPECT_EQ(crashes(), kCrashesUntilBarred);
 }
 
-// Guards against a request that is repeated faster than its crashes can be told from a loss of power.
-TEST_F(PoisonRequestsTest, requestThatCrashesAtAQuickPace_isSentAtMostThreeTimesLater)
+// Guards against a request that is repeated so fast that its crashes look like a power loss.
+TEST_F(PoisonRequestsTest, rapidlyRepeatedPoisonRequest_isSentAtMostThreeTimesLater)
 {
     startTwo();
-    crash(*gateway, kEnoughEnds, std::chrono::milliseconds(10));
-    std::this_thread::sleep_for(kKnownWithin);
+    crash(*gateway, kCrashesUntilBarred, std::chrono::milliseconds(10));
+    std::this_thread::sleep_for(kPropagationTime);
     const int known = crashes();
     for (int n = 0; n < 2 * kEndpoints; ++n) {
-        ASSERT_TRUE(send(n % 2 == 0 ? *gateway : *other, "/once/1", kPoison).ok());
+        ASSERT_TRUE(send(n % 2 == 0 ? *gateway : *otherGateway, "/once/1", kPoison).ok());
         std::this_thread::sleep_for(kPause);
     }
-    EXPECT_LE(crashes() - known, kMostLater);
+    EXPECT_LE(crashes() - known, kMaximumLateRuns);
 }
