--- a/src/libradishswitch/serving/poisondetector.cpp
+++ b/src/libradishswitch/serving/poisondetector.cpp
@@ -10,7 +10,8 @@
 {
 }
 
-std::vector<RequestFingerprint> PoisonDetector::take(const std::string &source, const CrashReport &report, Instant now)
+std::vector<RequestFingerprint> PoisonDetector::addReport(const std::string &source, const CrashReport &report,
+                                                          Instant now)
 {
     std::vector<RequestFingerprint> suspects;
     for (const CrashedRun &run : report.crashed) {
@@ -21,7 +22,8 @@
     for (const RequestFingerprint &request : report.answered) {
         clear(request);
     }
-    // What ran at the most endpoints that crashed explains the crashes of the rest.
+    // The request with the most crashes is judged first, since it explains the crashes of the requests that ran beside
+    // it.
     std::ranges::stable_sort(suspects, std::greater<>(), [this](const RequestFingerprint &request) {
         return crashes(request);
     });
@@ -29,8 +31,8 @@
     for (const RequestFingerprint &request : suspects) {
         const auto it = m_requests.find(request);
         const bool isNew = it != m_requests.end() && !it->second.isBarred();
-        if (isNew && countedCrashes(request) >= m_settings.enoughCrashes) {
-            it->second.isConvicted = true;
+        if (isNew && countedCrashes(request) >= m_settings.crashThreshold) {
+            it->second.isBarredHere = true;
             barred.push_back(request);
         }
     }
@@ -46,13 +48,13 @@
     }
     std::vector<Crash> &crashes = it->second.crashes;
     const bool isKnown = std::ranges::any_of(crashes, [&run](const Crash &crash) {
-        return crash.life == run.life;
+        return crash.incarnation == run.incarnation;
     });
     if (isKnown) {
         return false;
     }
-    crashes.push_back({run.life, now, source, run.crashesBefore});
-    m_ranAt[run.life].push_back(run.request);
+    crashes.push_back({run.incarnation, now, source, run.crashesBefore});
+    m_ranAt[run.incarnation].push_back(run.request);
     return true;
 }
 
@@ -63,7 +65,7 @@
         return;
     }
     for (const Crash &crash : it->second.crashes) {
-        const auto ran = m_ranAt.find(crash.life);
+        const auto ran = m_ranAt.find(crash.incarnation);
         if (ran != m_ranAt.end() && std::erase(ran->second, request) > 0 && ran->second.empty()) {
             m_ranAt.erase(ran);
         }
@@ -79,12 +81,12 @@
             return crash.source == source;
         };
         if (std::erase_if(known.crashes, isOfSource) > 0) {
-            known.isConvicted = known.isConvicted && countedCrashes(request) >= m_settings.enoughCrashes;
+            known.isBarredHere = known.isBarredHere && countedCrashes(request) >= m_settings.crashThreshold;
             touched.push_back(request);
         }
     }
     for (const RequestFingerprint &request : touched) {
-        eraseIfBlank(request);
+        eraseIfEmpty(request);
     }
     absl::erase_if(m_ranAt, [this](const auto &entry) {
         return std::ranges::none_of(entry.second, [this](const RequestFingerprint &request) {
@@ -99,7 +101,7 @@
     if (isNew) {
         m_order.push_back(request);
     }
-    it->second.isBarredByOthers = true;
+    it->second.isBarredElsewhere = true;
     forgetOldest();
 }
 
@@ -107,8 +109,8 @@
 {
     const auto it = m_requests.find(request);
     if (it != m_requests.end()) {
-        it->second.isBarredByOthers = false;
-        eraseIfBlank(request);
+        it->second.isBarredElsewhere = false;
+        eraseIfEmpty(request);
     }
 }
 
@@ -138,30 +140,30 @@
         return 0;
     }
     int unexplained = 0;
-    int inSequence = 0;
+    int sequential = 0;
     int counted = 0;
-    int ofMoment = 0;
-    std::optional<Instant> moment;
+    int inWindow = 0;
+    std::optional<Instant> windowStart;
     for (const Crash &crash : it->second.crashes) {
-        if (isExplained(crash.life, request)) {
+        if (isExplained(crash.incarnation, request)) {
             continue;
         }
         ++unexplained;
-        inSequence = std::max(inSequence, crash.before + 1);
-        if (!moment || crash.knownAt - *moment > m_settings.together) {
-            moment = crash.knownAt;
-            ofMoment = 0;
+        sequential = std::max(sequential, crash.crashesBefore + 1);
+        if (!windowStart || crash.knownAt - *windowStart > m_settings.coincidenceWindow) {
+            windowStart = crash.knownAt;
+            inWindow = 0;
         }
-        counted += ofMoment < m_settings.mostTogether ? 1 : 0;
-        ++ofMoment;
+        counted += inWindow < m_settings.maxCoincidentCrashes ? 1 : 0;
+        ++inWindow;
     }
-    // What a run knew of may have been cleared since.
-    return std::max(counted, std::min(inSequence, unexplained));
+    // The run's count may include crashes that were cleared since, so it is limited to those still known.
+    return std::max(counted, std::min(sequential, unexplained));
 }
 
-bool PoisonDetector::isExplained(const EndpointLife &life, const RequestFingerprint &request) const
+bool PoisonDetector::isExplained(const EndpointIncarnation &incarnation, const RequestFingerprint &request) const
 {
-    const auto ran = m_ranAt.find(life);
+    const auto ran = m_ranAt.find(incarnation);
     if (ran == m_ranAt.end()) {
         return false;
     }
@@ -171,7 +173,7 @@
     });
 }
 
-void PoisonDetector::eraseIfBlank(const RequestFingerprint &request)
+void PoisonDetector::eraseIfEmpty(const RequestFingerprint &request)
 {
     const auto it = m_requests.find(request);
     if (it != m_requests.end() && it->second.crashes.empty() && !it->second.isBarred()) {
@@ -179,10 +181,10 @@
     }
 }
 
-// The order keeps names of requests that are cleared since; they cost nothing when their turn comes.
+// m_order still holds requests that were cleared. Clearing them again has no effect.
 void PoisonDetector::forgetOldest()
 {
-    while (m_order.size() > m_settings.mostRequests) {
+    while (m_order.size() > m_settings.maxRequests) {
         clear(m_order.front());
         m_order.pop_front();
     }
