--- a/src/libradishswitch/requests/grantedrequests.cpp
+++ b/src/libradishswitch/requests/grantedrequests.cpp
@@ -102,9 +102,9 @@
         m_claims.setState(known.shard, request, known.grantedAttempt, claimState);
     }
     const bool hasNoAnswer = chargedTokens == 0 && state != RequestState::Done;
-    if (const RunRecord *conflictingRun = m_billing.rivalOf(request); conflictingRun && hasNoAnswer) {
+    if (const RunRecord *competingRun = m_billing.rivalOf(request); competingRun && hasNoAnswer) {
         m_registry.forget(request);
-        m_registry.addReportedRun(*conflictingRun, known.shard, m_timers.now());
+        m_registry.addReportedRun(*competingRun, known.shard, m_timers.now());
     }
     bill(request, known, chargedTokens);
 }
@@ -221,7 +221,7 @@
             return it.attempt == record.attempt;
         });
         if (!isOurs && record.attempt != known->grantedAttempt) {
-            addConflictingRun(*known, record);
+            addCompetingRun(*known, record);
         }
         return;
     }
@@ -233,7 +233,7 @@
 
 /// When two owners both let the request run, the earlier owner bills it. Without this rule, each owner that finds the
 /// charge of the other would drop its own bill, and nobody would be billed.
-void GrantedRequests::addConflictingRun(const KnownRequest &known, const RunRecord &record)
+void GrantedRequests::addCompetingRun(const KnownRequest &known, const RunRecord &record)
 {
     const bool isOfLaterOwner = known.epoch > 0 && record.epoch > known.epoch;
     if (isOfLaterOwner) {
@@ -245,17 +245,17 @@
     }
     RunResolver::Events events;
     events.ended = [this, record](const RunVerdict &verdict) {
-        finishConflictingRun(record, verdict);
+        finishCompetingRun(record, verdict);
     };
     events.agentUnreachable = [] {};
-    RunResolver &resolver = *(m_conflictingRunResolvers[record.request] =
+    RunResolver &resolver = *(m_competingRunResolvers[record.request] =
                                   makeResolver(record.request, {{record.attempt, record.agentAddress}}, false, events));
     resolver.start();
 }
 
-void GrantedRequests::finishConflictingRun(RunRecord record, const RunVerdict &verdict)
+void GrantedRequests::finishCompetingRun(RunRecord record, const RunVerdict &verdict)
 {
-    m_conflictingRunResolvers.erase(record.request);
+    m_competingRunResolvers.erase(record.request);
     record.state = verdict.end == ResolvedEnd::Done ? RunState::Done : RunState::Failed;
     record.chargedTokens = verdict.chargedTokens;
     const KnownRequest *known = m_registry.find(record.request);
@@ -273,15 +273,15 @@
     return it != m_resolvers.end() && it->second->hasUnreachableAgent();
 }
 
-std::optional<RunRecord> GrantedRequests::takeConflictingRun(const RequestId &request)
+std::optional<RunRecord> GrantedRequests::takeCompetingRun(const RequestId &request)
 {
-    const RunRecord *conflictingRun = m_billing.rivalOf(request);
-    if (!conflictingRun) {
+    const RunRecord *competingRun = m_billing.rivalOf(request);
+    if (!competingRun) {
         return std::nullopt;
     }
-    const RunRecord record = *conflictingRun;
+    const RunRecord record = *competingRun;
     m_billing.forgetRival(request);
-    m_conflictingRunResolvers.erase(request);
+    m_competingRunResolvers.erase(request);
     return record;
 }
 
--- a/src/libradishswitch/requests/grantedrequests.h
+++ b/src/libradishswitch/requests/grantedrequests.h
@@ -54,7 +54,7 @@
 
     /// Returns and removes a run of this request that an agent reported while this home was admitting the request as
     /// new.
-    std::optional<RunRecord> takeConflictingRun(const RequestId &request);
+    std::optional<RunRecord> takeCompetingRun(const RequestId &request);
 
     /// Releases the reservation of a request that was not granted after all.
     void release(const RequestId &request);
@@ -86,8 +86,8 @@
     std::unique_ptr<RunResolver> makeResolver(const RequestId &request, std::vector<Dispatch> dispatches, bool cancel,
                                               RunResolver::Events events);
 
-    void addConflictingRun(const KnownRequest &known, const RunRecord &record);
-    void finishConflictingRun(RunRecord record, const RunVerdict &verdict);
+    void addCompetingRun(const KnownRequest &known, const RunRecord &record);
+    void finishCompetingRun(RunRecord record, const RunVerdict &verdict);
 
     RequestRegistry &m_registry;
     KeyShards &m_shards;
@@ -101,7 +101,7 @@
     Billing m_billing;
     /// Resolvers of abandoned requests that were granted here, and of reported runs that have not ended.
     Resolvers m_resolvers;
-    Resolvers m_conflictingRunResolvers;
+    Resolvers m_competingRunResolvers;
     std::size_t m_granted = 0;
 };
 
--- a/src/libradishswitch/requests/home.cpp
+++ b/src/libradishswitch/requests/home.cpp
@@ -150,8 +150,8 @@
         rollBack(pending);
         return retryWaiters(query.request);
     }
-    if (const auto conflictingRun = m_granted.takeConflictingRun(query.request)) {
-        return attachToConflictingRun(pending, *conflictingRun);
+    if (const auto competingRun = m_granted.takeCompetingRun(query.request)) {
+        return attachToCompetingRun(pending, *competingRun);
     }
     if (!status.ok()) {
         rollBack(pending);
@@ -169,12 +169,12 @@
 
 /// While the request was being admitted, an agent that could not be reached before has reported a run of it. So the
 /// request is a duplicate.
-void Home::attachToConflictingRun(const PendingAdmission &pending, const RunRecord &conflictingRun)
+void Home::attachToCompetingRun(const PendingAdmission &pending, const RunRecord &competingRun)
 {
     rollBack(pending);
-    m_granted.addReportedRun(pending.shard, conflictingRun);
+    m_granted.addReportedRun(pending.shard, competingRun);
     decide(pending.admission);
-    retryWaiters(conflictingRun.request);
+    retryWaiters(competingRun.request);
 }
 
 void Home::rollBack(const PendingAdmission &pending)
--- a/src/libradishswitch/requests/home.h
+++ b/src/libradishswitch/requests/home.h
@@ -118,7 +118,7 @@
     void decide(Admission admission);
     void startAdmission(Admission admission);
     void finishAdmission(const PendingAdmission &pending, const absl::Status &status);
-    void attachToConflictingRun(const PendingAdmission &pending, const RunRecord &conflictingRun);
+    void attachToCompetingRun(const PendingAdmission &pending, const RunRecord &competingRun);
     void rollBack(const PendingAdmission &pending);
     void refuse(const Admission &admission, std::uint32_t shard, const absl::Status &status);
     void answer(const AdmitCallback &callback, absl::StatusOr<AdmitDecision> decision);
