--- a/src/gateway/callattempt.cpp
+++ b/src/gateway/callattempt.cpp
@@ -51,7 +51,8 @@
     if (m_isCallerDisconnected) {
         co_return makeFailure(FailureCode::ConnectionLost, "the caller is gone");
     }
-    const Duration maximumIdle = mayRunAgain() ? m_services.times.maximumIdle : m_services.times.longestIdleOnce;
+    const Duration maximumIdle =
+        mayRunAgain() ? m_services.times.maximumIdle : m_services.times.maximumIdleUnrepeatable;
     attempt.connection = m_services.connections.takeIdle(attempt.placement.endpoint, maximumIdle);
     absl::Status status;
     if (!attempt.connection) {
@@ -62,7 +63,7 @@
         attempt.isWithdrawn = !status.ok();
     }
     if (!status.ok()) {
-        m_services.connections.forget(attempt.placement.endpoint);
+        m_services.connections.closeIdle(attempt.placement.endpoint);
         attempt.connection->close();
         attempt.connection.reset();
     }
@@ -218,7 +219,7 @@
     if (!body.ok()) {
         connection->close();
     }
-    m_services.connections.giveBack(attempt.placement.endpoint, connection, head.idleTimeout);
+    m_services.connections.release(attempt.placement.endpoint, connection, head.idleTimeout);
     co_return head.isOtherEndpoint ? AttemptEnd::WrongEndpoint : AttemptEnd::RefusedByEndpoint;
 }
 
--- a/src/gateway/callrelay.cpp
+++ b/src/gateway/callrelay.cpp
@@ -33,7 +33,7 @@
     const AttemptResult result = isStream ? co_await relayStream(*head) : co_await relayWhole(*head);
     if (!result) {
         const ConnectionPointer connection = std::exchange(m_attempt.connection, nullptr);
-        m_services.connections.giveBack(m_attempt.placement.endpoint, connection, head->idleTimeout);
+        m_services.connections.release(m_attempt.placement.endpoint, connection, head->idleTimeout);
     }
     co_return result;
 }
--- a/src/gateway/callservices.h
+++ b/src/gateway/callservices.h
@@ -44,7 +44,7 @@
     Duration successorPollInterval = std::chrono::milliseconds(50);
     /// Maximum idle time of a connection that is used for a call which cannot be repeated. If the endpoint closes the
     /// idle connection while the call is being sent, the outcome of the call is unknown.
-    Duration longestIdleOnce = std::chrono::milliseconds(1500);
+    Duration maximumIdleUnrepeatable = std::chrono::milliseconds(1500);
     /// Maximum idle time of a connection that is used for a repeatable call.
     Duration maximumIdle = std::chrono::seconds(60);
     /// How long the gateway waits for the body of an endpoint's refusal.
--- a/src/gateway/endpointconnections.cpp
+++ b/src/gateway/endpointconnections.cpp
@@ -39,8 +39,8 @@
     return std::make_shared<HttpConnection>(m_workers, address, m_settings.silenceLimits);
 }
 
-void EndpointConnections::giveBack(const EndpointId &endpoint, const ConnectionPointer &connection,
-                                   std::optional<Duration> idleTimeout)
+void EndpointConnections::release(const EndpointId &endpoint, const ConnectionPointer &connection,
+                                  std::optional<Duration> idleTimeout)
 {
     const Duration kept = idleTimeout ? *idleTimeout - m_settings.idleMargin : m_settings.idleTimeout;
     if (kept <= Duration::zero() || connection->isSending() || !connection->isKeptAlive()) {
@@ -52,7 +52,7 @@
     m_idle[endpoint].push_back({connection, now, now + kept});
 }
 
-void EndpointConnections::forget(const EndpointId &endpoint)
+void EndpointConnections::closeIdle(const EndpointId &endpoint)
 {
     const auto it = m_idle.find(endpoint);
     if (it == m_idle.end()) {
--- a/src/gateway/endpointconnections.h
+++ b/src/gateway/endpointconnections.h
@@ -47,11 +47,11 @@
 
     /// Takes a connection back after its answer was read completely. `idleTimeout` is the time that the endpoint
     /// stated.
-    void giveBack(const EndpointId &endpoint, const ConnectionPointer &connection, std::optional<Duration> idleTimeout);
+    void release(const EndpointId &endpoint, const ConnectionPointer &connection, std::optional<Duration> idleTimeout);
 
     /// Closes the idle connections to an endpoint. A device on the network path may have dropped their state, or the
     /// endpoint has ended; each of them could delay a call by its whole timeout.
-    void forget(const EndpointId &endpoint);
+    void closeIdle(const EndpointId &endpoint);
 
     /// Closes connections whose idle timeout has passed, and removes endpoints without connections.
     void closeExpired();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -60,7 +60,7 @@
     , m_poison(m_workers, m_store, m_connections, m_timers, m_random, m_settings.instance,
                [this](const EndpointIncarnation &incarnation) {
                    m_gate.noteCrashed(incarnation.endpoint);
-                   m_connections.forget(incarnation.endpoint);
+                   m_connections.closeIdle(incarnation.endpoint);
                })
     , m_limits(m_store, m_timers, m_random, m_gate)
     , m_services{*m_adapter.protocol,
@@ -88,7 +88,7 @@
                       })
     , m_endpoints(*m_adapter.catalogue, m_gate, m_timers,
                   [this](const EndpointId &endpoint) {
-                      m_connections.forget(endpoint);
+                      m_connections.closeIdle(endpoint);
                   })
     , m_cordons(*m_adapter.catalogue, m_gate)
     , m_configurationFollower(m_relayedStore, m_timers, m_random, m_adapter.catalogue->configurationPrefix(),
@@ -150,7 +150,7 @@
     if (m_settings.watchesAlone) {
         m_homes.watchAlone();
     }
-    m_timers.after(m_settings.longestHold, [this] {
+    m_timers.after(m_settings.maximumAcceptDelay, [this] {
         m_server.startAccepting();
     });
     m_metrics.beforeCollection([this] {
--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -73,9 +73,9 @@
                      "multiple of its limit that all gateways together may send to a cold endpoint");
     parser.addNumber("watch-share", settings.watchShare, kMinimumWatchShare, 1,
                      "share of the change bound after which a watch without changes is renewed");
-    parser.add("longest-hold", settings.longestHold,
+    parser.add("longest-hold", settings.maximumAcceptDelay,
                "how long connections stay unaccepted until the first configuration is known");
-    parser.add("longest-idle-once", settings.longestIdleOnce,
+    parser.add("longest-idle-once", settings.maximumIdleUnrepeatable,
                "maximum idle time of a connection for a call that cannot be repeated");
     parser.addFlag("watch-alone", settings.watchesAlone, "watch the store directly instead of through another gateway");
     parser.addFlag("ignore-homes", settings.ignoresHomes,
--- a/src/gateway/gatewaysettings.h
+++ b/src/gateway/gatewaysettings.h
@@ -32,9 +32,9 @@
     /// after a second, and a gateway mostly knows its configuration 0.4 s after a restart. In two test days with 23 and
     /// 27 gateways and a power loss, 860 and 670 calls were refused for lack of a configuration without this wait, and
     /// 394 and 518 with it.
-    Duration longestHold = std::chrono::milliseconds(700);
+    Duration maximumAcceptDelay = std::chrono::milliseconds(700);
     /// Maximum idle time of a connection that is used for a call which cannot be repeated.
-    Duration longestIdleOnce = std::chrono::milliseconds(1500);
+    Duration maximumIdleUnrepeatable = std::chrono::milliseconds(1500);
     /// Each gateway watches the store itself, instead of one gateway of the zone watching it for the others.
     bool watchesAlone = false;
     /// Home processes are ignored, and gateways act as the homes of budgets.
--- a/src/gateway/partsettings.cpp
+++ b/src/gateway/partsettings.cpp
@@ -74,7 +74,7 @@
 CallTimes callTimes(const GatewaySettings &settings)
 {
     CallTimes times;
-    times.longestIdleOnce = settings.longestIdleOnce;
+    times.maximumIdleUnrepeatable = settings.maximumIdleUnrepeatable;
     return times;
 }
 
