--- a/src/home/budgethomesettings.cpp
+++ b/src/home/budgethomesettings.cpp
@@ -6,15 +6,15 @@
 namespace
 {
 
-constexpr int kMostHomesOfZone = 10'000;
+constexpr int kMaxAnnouncedHomesPerZone = 10'000;
 
 }
 
 void addBudgetHomeSettings(SettingsParser &parser, BudgetHomeSettings &settings)
 {
     addFleetSettings(parser, settings);
-    parser.addNumber("homes-of-zone", settings.homesOfZone, 0, kMostHomesOfZone,
-                     "homes of one availability zone that make themselves known; 0 for all");
+    parser.addNumber("homes-of-zone", settings.announcedHomesPerZone, 0, kMaxAnnouncedHomesPerZone,
+                     "number of homes in one availability zone that announce themselves to the fleet; 0 for all");
 }
 
 }
--- a/src/home/budgethomesettings.h
+++ b/src/home/budgethomesettings.h
@@ -5,10 +5,10 @@
 namespace RadishSwitch
 {
 
-/// What a home is told at its start.
+/// Start-up settings of a home process.
 struct BudgetHomeSettings : FleetSettings {
-    /// Homes of one availability zone that make themselves known to the others; zero for all.
-    int homesOfZone = 0;
+    /// Number of homes in one availability zone that announce themselves to the fleet. Zero means that all homes do.
+    int announcedHomesPerZone = 0;
 };
 
 void addBudgetHomeSettings(SettingsParser &parser, BudgetHomeSettings &settings);
--- a/src/home/home.cpp
+++ b/src/home/home.cpp
@@ -17,10 +17,11 @@
 
 const Log kLog("process");
 
-/// Kept back from the drain timeout: the process ends before it would be killed.
+/// A drain ends this long before the drain timeout, so that the process exits by itself before it is killed.
 constexpr Duration kStopReserve = std::chrono::milliseconds(400);
 
-/// How long a watch for a gateway that is cut off waits for news. Less than gateways wait for an answer.
+/// Longest time that a watch of the store waits for a change. It is shorter than the time that a gateway which is cut
+/// off from the store waits for the home's answer to its watch.
 constexpr Duration kWatchWait = std::chrono::milliseconds(800);
 
 FleetStoreSettings storeSettings(const FleetSettings &settings)
@@ -34,7 +35,7 @@
 HomeCandidacySettings candidacySettings(const BudgetHomeSettings &settings)
 {
     HomeCandidacySettings candidacy;
-    candidacy.wantedInZone = settings.homesOfZone;
+    candidacy.targetPerZone = settings.announcedHomesPerZone;
     return candidacy;
 }
 
@@ -47,7 +48,7 @@
     , m_platformStore(makeFleetStore(m_workers, storeSettings(m_settings)))
     , m_store(*m_platformStore, m_timers, m_metrics)
     , m_probedStore(m_store, m_timers, m_random)
-    , m_sharedReads(m_probedStore)
+    , m_coalescingStore(m_probedStore)
     , m_ledger(m_store, m_timers, m_random, ledgerSettings(m_settings))
     , m_holder(m_ledger, m_timers, m_workers, m_random, holderSettings(m_settings, m_random))
     , m_budgets(m_ledger, m_holder, m_timers,
@@ -78,7 +79,7 @@
         m_service.serve(stream);
     });
     m_server.handle(kWatchPath, [this](const MessageStreamPointer &stream) {
-        serveFromStore(m_sharedReads, stream);
+        serveFromStore(m_coalescingStore, stream);
     });
     absl::Status status = m_admin.listen(m_settings.adminListen.ip(), m_settings.adminListen.port());
     if (status.ok()) {
@@ -89,7 +90,7 @@
     }
     m_workers.post([this] {
         m_metrics.beforeCollection([this] {
-            countGauges();
+            updateGauges();
         });
         m_candidacy.start(m_settings.isFirstStart);
         m_admin.setReady(true);
@@ -105,15 +106,15 @@
         m_admin.setReady(false);
         m_onDrained = std::move(callback);
         m_holder.stop([this] {
-            end();
+            finishDrain();
         });
         m_timers.after(m_settings.drainTimeout - kStopReserve, [this] {
-            end();
+            finishDrain();
         });
     });
 }
 
-void Home::end()
+void Home::finishDrain()
 {
     if (const auto callback = std::exchange(m_onDrained, nullptr)) {
         kLog.info("stopped", {field("open_reservations", m_holder.openReservationCount())});
@@ -131,7 +132,7 @@
     return m_admin.port();
 }
 
-void Home::countGauges()
+void Home::updateGauges()
 {
     countBudgets(m_holder, m_metrics);
 }
--- a/src/home/home.h
+++ b/src/home/home.h
@@ -20,11 +20,13 @@
 namespace RadishSwitch
 {
 
-/// One process beside an endpoint that is home of budgets: gateways reserve against the portions that it holds.
+/// A home of budgets: a process beside an endpoint that holds portions of budgets, against which gateways reserve
+/// tokens.
 ///
-/// Gateways are upgraded, overrun by callers, killed in herds and cut off from the store together. What they held was
-/// lost to the budgets each time, and it had to last through the longest cut. A home beside an endpoint shares none of
-/// these fates, so that its portions can be small.
+/// Gateways don't hold the portions themselves because many gateways fail at the same time: they are upgraded,
+/// overloaded by callers, killed, or cut off from the store together. The budgets lost the tokens that these gateways
+/// held, and each portion had to be large enough to last through the longest loss of the store. A home beside an
+/// endpoint does not fail together with the gateways, so its portions can be small.
 class Home
 {
 public:
@@ -34,11 +36,13 @@
     Home(const Home &) = delete;
     Home &operator=(const Home &) = delete;
 
-    /// Opens all doors and makes the home known. The errors of listening.
+    /// Listens on all ports and starts to announce the home to the fleet. Returns an error if listening on a port
+    /// fails.
     absl::Status start();
 
-    /// Planned stop: nothing new is reserved, open reservations are waited for, portions go back. Calls back when all
-    /// is done, or the drain timeout has passed.
+    /// Starts a planned stop: the home refuses new reservations, waits until the open ones are settled, and returns its
+    /// portions to the budgets. Calls `callback` when all portions are returned, or shortly before the drain timeout
+    /// ends, whichever comes first.
     void drain(std::function<void()> callback);
 
     WorkerPool &workers()
@@ -50,8 +54,8 @@
     std::uint16_t adminPort() const;
 
 private:
-    void end();
-    void countGauges();
+    void finishDrain();
+    void updateGauges();
 
     const BudgetHomeSettings m_settings;
     WorkerPool m_workers;
@@ -60,9 +64,9 @@
     Metrics m_metrics;
     std::unique_ptr<ObjectStore> m_platformStore;
     CountedStore m_store;
-    /// For gateways that are cut off from the store.
+    /// Serves the watches of gateways that are cut off from the store.
     ProbedStore m_probedStore;
-    CoalescingStore m_sharedReads;
+    CoalescingStore m_coalescingStore;
     Ledger m_ledger;
     BudgetHolder m_holder;
     PrepaidBudgets m_budgets;
--- a/src/home/homecandidacy.cpp
+++ b/src/home/homecandidacy.cpp
@@ -13,7 +13,7 @@
 
 const Log kLog("peers");
 
-/// Until the next try when the store did not answer.
+/// Delay before the home lists its peers again after a failed call to the store.
 constexpr Duration kRetryPause = std::chrono::seconds(1);
 
 }
@@ -38,47 +38,48 @@
 
 void HomeCandidacy::start(bool isFirstStart)
 {
-    if (m_settings.wantedInZone == 0) {
+    if (m_settings.targetPerZone == 0) {
         return m_announcement.start(isFirstStart);
     }
-    lookAfter(Duration(
-        static_cast<Duration::rep>(m_random.below(static_cast<std::uint64_t>(m_settings.spread.count()) + 1))));
+    scheduleCheck(Duration(
+        static_cast<Duration::rep>(m_random.below(static_cast<std::uint64_t>(m_settings.startSpread.count()) + 1))));
 }
 
-void HomeCandidacy::lookAfter(Duration span)
+void HomeCandidacy::scheduleCheck(Duration delay)
 {
-    m_timer = m_timers.after(span, [this] {
+    m_timer = m_timers.after(delay, [this] {
         m_timer = 0;
-        look();
+        checkPeers();
     });
 }
 
-void HomeCandidacy::look()
+void HomeCandidacy::checkPeers()
 {
     m_store.listRelaxed(kPeersPrefix, [this, alive = std::weak_ptr<int>(m_alive)](const auto &peers) {
         if (alive.expired()) {
             return;
         }
-        peers.ok() ? decide(peers->objects) : lookAfter(kRetryPause);
+        peers.ok() ? decide(peers->objects) : scheduleCheck(kRetryPause);
     });
 }
 
 void HomeCandidacy::decide(const std::vector<StoredObject> &peers)
 {
-    int known = 0;
+    int announcedHomes = 0;
     for (const StoredObject &object : peers) {
-        // Its object is there from an earlier life; the announcement sees to it that it is up to date.
+        // This home announced itself before a restart, so its object is already in the store. The announcement rewrites
+        // the object if its value has changed.
         if (object.key == kPeersPrefix + m_instance) {
             return m_announcement.start(false);
         }
         const absl::StatusOr<FleetPeer> peer = readPeerEntry(object.value);
-        known += peer.ok() && peer->kind == PeerKind::Home && peer->zone == m_zone ? 1 : 0;
+        announcedHomes += peer.ok() && peer->kind == PeerKind::Home && peer->zone == m_zone ? 1 : 0;
     }
-    if (known < m_settings.wantedInZone) {
+    if (announcedHomes < m_settings.targetPerZone) {
         return m_announcement.start(true);
     }
-    kLog.info("not needed as a home", {field("zone", m_zone), field("known", known)});
-    lookAfter(m_settings.lookAgain);
+    kLog.info("home not announced, its zone has enough homes", {field("zone", m_zone), field("known", announcedHomes)});
+    scheduleCheck(m_settings.recheckInterval);
 }
 
 }
--- a/src/home/homecandidacy.h
+++ b/src/home/homecandidacy.h
@@ -13,20 +13,22 @@
 {
 
 struct HomeCandidacySettings {
-    /// Homes of one availability zone that make themselves known; zero for all. Each that does is in the list of every
-    /// gateway, and a fleet needs no more than its ledger's shards and what may be lost at once.
-    int wantedInZone = 0;
-    /// Within so long homes that start together look at how many there are, each at a moment of its own. A list of the
-    /// cheap kind may be a second old, and those that look in that second do not see one another.
-    Duration spread = std::chrono::seconds(8);
-    /// One that is not needed looks again after so long.
-    Duration lookAgain = std::chrono::minutes(2);
+    /// Number of homes in one availability zone that announce themselves. Zero means that all homes do. Every gateway
+    /// keeps each announced home in its list of peers. A fleet needs only as many homes as its ledger has shards, plus
+    /// the number of homes that can fail at once.
+    int targetPerZone = 0;
+    /// Homes that start together count the announced homes at random moments within this time after their start. The
+    /// relaxed list that they read can be a second old, so homes that count within the same second don't see each
+    /// other.
+    Duration startSpread = std::chrono::seconds(8);
+    /// A home that is not needed counts the announced homes again after this time.
+    Duration recheckInterval = std::chrono::minutes(2);
 };
 
-/// Decides whether a home makes itself known: only while too few of its zone are.
+/// Decides whether a home announces itself to the fleet: only while its availability zone has too few announced homes.
 ///
-/// A home that is not known does nothing, and costs the others nothing: of 625 beside as many endpoints each was in the
-/// list of 357 gateways, and eight were asked.
+/// A home that is not announced does nothing and costs the other processes nothing. Without this limit, 625 homes
+/// beside 625 endpoints were each in the peer lists of 357 gateways, although gateways used only eight of them.
 class HomeCandidacy
 {
 public:
@@ -40,8 +42,8 @@
     void start(bool isFirstStart);
 
 private:
-    void lookAfter(Duration span);
-    void look();
+    void scheduleCheck(Duration delay);
+    void checkPeers();
     void decide(const std::vector<StoredObject> &peers);
 
     ObjectStore &m_store;
--- a/tests/radishswitch-home/homecandidacy_test.cpp
+++ b/tests/radishswitch-home/homecandidacy_test.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// A store whose cheap lists are a second old.
+/// A store whose relaxed lists are up to one second old.
 class StaleListStore : public ForwardingStore
 {
 public:
@@ -25,18 +25,18 @@
     {
         timers.every(std::chrono::seconds(1), [this] {
             ForwardingStore::list(kPeersPrefix, [this](const absl::StatusOr<StoreChanges> &changes) {
-                m_old = *changes;
+                m_staleList = *changes;
             });
         });
     }
 
     void listRelaxed(const std::string &, Callback<StoreChanges> callback) override
     {
-        callback(m_old);
+        callback(m_staleList);
     }
 
 private:
-    StoreChanges m_old;
+    StoreChanges m_staleList;
 };
 
 }
@@ -49,10 +49,10 @@
         std::unique_ptr<HomeCandidacy> candidacy;
     };
 
-    void addHomes(int count, const std::string &zone, int wanted)
+    void addHomes(int count, const std::string &zone, int targetPerZone)
     {
         HomeCandidacySettings settings;
-        settings.wantedInZone = wanted;
+        settings.targetPerZone = targetPerZone;
         for (int n = 0; n < count; ++n) {
             const std::string name = "home-" + zone + "-" + std::to_string(n);
             const FleetPeer peer{"10.0.0.1:1", 1, zone, PeerKind::Home};
@@ -64,7 +64,7 @@
         }
     }
 
-    void pass(Duration span)
+    void advance(Duration span)
     {
         constexpr Duration kStep = std::chrono::milliseconds(5);
         for (Duration done{}; done < span; done += kStep) {
@@ -73,7 +73,7 @@
         }
     }
 
-    std::size_t known() const
+    std::size_t announcedHomes() const
     {
         return store.objects().size();
     }
@@ -86,39 +86,42 @@
     std::vector<Candidate> candidates;
 };
 
-// Guards against a list of peers that grows with the endpoints.
-TEST_F(HomeCandidacyTest, manyHomesOfAZone_fewMakeThemselvesKnown)
+// Each endpoint has a home beside it. Guards against a list of peers that grows with the number of endpoints because
+// every home announces itself. Homes that read the same stale list can announce themselves together, so the upper bound
+// is above the target.
+TEST_F(HomeCandidacyTest, homes_manyInZone_fewAnnounceThemselves)
 {
     addHomes(125, "a", 16);
-    pass(std::chrono::seconds(12));
-    EXPECT_GE(known(), 16U);
-    EXPECT_LE(known(), 60U);
+    advance(std::chrono::seconds(12));
+    EXPECT_GE(announcedHomes(), 16U);
+    EXPECT_LE(announcedHomes(), 60U);
 }
 
-TEST_F(HomeCandidacyTest, fewHomesOfAZone_allMakeThemselvesKnown)
+TEST_F(HomeCandidacyTest, homes_fewInZone_allAnnounceThemselves)
 {
     addHomes(9, "a", 16);
     addHomes(4, "b", 16);
-    pass(std::chrono::seconds(12));
-    EXPECT_EQ(known(), 13U);
+    advance(std::chrono::seconds(12));
+    EXPECT_EQ(announcedHomes(), 13U);
 }
 
-TEST_F(HomeCandidacyTest, noBoundSet_allMakeThemselvesKnownAtOnce)
+TEST_F(HomeCandidacyTest, homes_noTargetSet_allAnnounceThemselvesAtOnce)
 {
     addHomes(125, "a", 0);
-    pass(std::chrono::milliseconds(50));
-    EXPECT_EQ(known(), 125U);
+    advance(std::chrono::milliseconds(50));
+    EXPECT_EQ(announcedHomes(), 125U);
 }
 
-// Guards against homes that look forever and are never needed, and against a zone that is left without any.
-TEST_F(HomeCandidacyTest, knownHomesRemoved_othersTakeTheirPlace)
+// Homes that were not needed at first have to check again later. Guards against a zone that is left without homes when
+// the announced ones are removed.
+TEST_F(HomeCandidacyTest, announcedHomes_removed_othersTakeTheirPlace)
 {
     addHomes(60, "a", 16);
-    pass(std::chrono::seconds(12));
+    advance(std::chrono::seconds(12));
     const auto before = store.objects();
     for (const auto &[key, object] : before) {
         store.remove(key, object.version, [](const absl::Status &) {});
     }
-    pass(std::chrono::seconds(150));
-    EXPECT_GE(known(), 16U);
+    advance(std::chrono::seconds(150));
+    EXPECT_GE(announcedHomes(), 16U);
 }
