--- a/src/home/main.cpp
+++ b/src/home/main.cpp
@@ -10,7 +10,8 @@
 
     BudgetHomeSettings settings;
     settings.instance = "home";
-    SettingsParser parser("radishswitch-home", "Holds portions of budgets beside an endpoint, for all gateways.");
+    SettingsParser parser("radishswitch-home",
+                          "Holds portions of budgets beside an endpoint, against which gateways reserve tokens.");
     addBudgetHomeSettings(parser, settings);
     if (const std::optional<int> exitCode = parser.parseCommandLine(argc, argv)) {
         return *exitCode;
@@ -20,17 +21,17 @@
     configureLogs(settings.log);
 
     Home home(settings);
-    std::promise<void> left;
+    std::promise<void> drained;
     const Signals signals(home.workers(), [&] {
-        home.drain([&left] {
-            left.set_value();
+        home.drain([&drained] {
+            drained.set_value();
         });
     });
     if (const absl::Status status = home.start(); !status.ok()) {
         std::fprintf(stderr, "radishswitch-home: %s\n", std::string(status.message()).c_str());
         return 2;
     }
-    left.get_future().wait();
+    drained.get_future().wait();
     home.workers().stop();
     return 0;
 }
