--- a/tests/radishswitch-home/home_test.cpp
+++ b/tests/radishswitch-home/home_test.cpp
@@ -16,16 +16,17 @@
 namespace
 {
 
-constexpr std::chrono::seconds kLong{20};
+constexpr std::chrono::seconds kAnswerTimeout{20};
 
 }
 
-/// A home on loopback before a stand-in of the platform's store, asked by a gateway's side of the link.
+/// Runs a home on the loopback interface with a stand-in for the platform's store. The tests call the home through the
+/// classes that a gateway uses.
 class HomeTest : public testing::Test
 {
 protected:
     template<typename Function>
-    auto onCallers(Function function)
+    auto runOnCallers(Function function)
     {
         std::packaged_task<decltype(function())()> task(std::move(function));
         auto result = task.get_future();
@@ -36,16 +37,16 @@
     }
 
     HomeTest()
-        : standins(1)
+        : storeWorkers(1)
         , callers(1)
-        , store(standins)
+        , store(storeWorkers)
         , timers(callers)
         , clients(callers, transportSettings(FleetSettings()))
         , directory("gateway")
         , peers(clients, directory, timers, std::chrono::seconds(20))
     {
         EXPECT_TRUE(store.listen("127.0.0.1", 0).ok());
-        standins.start();
+        storeWorkers.start();
         callers.start();
         BudgetHomeSettings settings;
         settings.log.level = LogLevel::Off;
@@ -57,7 +58,7 @@
         settings.zone = "a";
         home = std::make_unique<Home>(settings);
         EXPECT_TRUE(home->start().ok());
-        onCallers([this] {
+        runOnCallers([this] {
             directory.setPeers({{"home-1", {"127.0.0.1:" + std::to_string(home->port()), 1, "a", PeerKind::Home}}});
         });
     }
@@ -66,7 +67,7 @@
     {
         home.reset();
         callers.stop();
-        standins.stop();
+        storeWorkers.stop();
     }
 
     absl::Status reserve(const std::string &call, std::int64_t tokens)
@@ -76,14 +77,14 @@
             ReservationRequest request{RequestId(call), PrepaidBudgets::budgetOf(OrganisationId("magnolia")), tokens,
                                        timers.now() + std::chrono::seconds(2)};
             request.allowance = allowance;
-            // The home's word is what is tested: its way back is waited for beyond the deadline, however busy the
-            // machine.
-            peers.reserve("home-1", request, kLong, [&answered](const absl::Status &status) {
+            // The tests check the home's answer, not its speed. On a busy machine the answer can arrive after the
+            // reservation's deadline, so the test waits much longer for it.
+            peers.reserve("home-1", request, kAnswerTimeout, [&answered](const absl::Status &status) {
                 answered.set_value(status);
             });
         });
         std::future<absl::Status> result = answered.get_future();
-        if (result.wait_for(kLong) != std::future_status::ready) {
+        if (result.wait_for(kAnswerTimeout) != std::future_status::ready) {
             return makeFailure(FailureCode::Internal, "no answer");
         }
         return result.get();
@@ -91,23 +92,23 @@
 
     void settle(const std::string &call, std::int64_t tokens)
     {
-        onCallers([&] {
+        runOnCallers([&] {
             peers.settle("home-1", RequestId(call), tokens);
         });
     }
 
-    /// What the ledger's objects hold, as text.
+    /// The contents of the ledger's objects in the store, as JSON text.
     std::string ledgerText()
     {
         std::promise<std::string> read;
-        standins.post([&] {
+        storeWorkers.post([&] {
             read.set_value(store.table().list("ledger", "").body.dump());
         });
         return read.get_future().get();
     }
 
     Allowance allowance{1, 1'000};
-    WorkerPool standins;
+    WorkerPool storeWorkers;
     WorkerPool callers;
     StoreServer store;
     AsioTimerService timers;
@@ -125,16 +126,18 @@
     EXPECT_TRUE(reserve("c3", 700).ok());
 }
 
-// A payment is made while the home runs. It reads no configuration; the next gateway that reserves tells it.
-TEST_F(HomeTest, paymentTold_isUsableAtOnce)
+// A payment is made while the home runs. The home reads no configuration and learns of the new total from the next
+// reservation of a gateway. Guards against a home that keeps refusing after the payment.
+TEST_F(HomeTest, reservation_withNewerAllowance_usesItAtOnce)
 {
     EXPECT_EQ(failureCode(reserve("c1", 1'500)), FailureCode::BudgetExhausted);
     allowance = {2, 2'000};
     EXPECT_TRUE(reserve("c2", 1'500).ok());
 }
 
-// The home's instance is upgraded. What it holds goes back to the budget, so that the next home can give it out.
-TEST_F(HomeTest, plannedStop_givesPortionsBackOnceCallsAreSettled)
+// A home is stopped for an upgrade of its instance. Its portions must go back to the budget, so that the next home can
+// grant the tokens.
+TEST_F(HomeTest, plannedStop_openReservation_returnsPortionsOnceSettled)
 {
     ASSERT_TRUE(reserve("c1", 700).ok());
     std::promise<void> drained;
@@ -143,29 +146,30 @@
     });
     EXPECT_EQ(failureCode(reserve("c2", 100)), FailureCode::Draining);
     settle("c1", 300);
-    ASSERT_EQ(drained.get_future().wait_for(kLong), std::future_status::ready);
+    ASSERT_EQ(drained.get_future().wait_for(kAnswerTimeout), std::future_status::ready);
     EXPECT_EQ(ledgerText().find("\"granted\""), std::string::npos) << ledgerText();
 }
 
-// Somebody else connects and sends what is no message. The stream ends, and the gateways' go on.
-TEST_F(HomeTest, unreadableMessage_endsItsStreamAlone)
+// An unknown client connects and sends bytes that are not a message. The home must close only that client's stream and
+// go on serving the gateways.
+TEST_F(HomeTest, unreadableMessage_unknownClient_closesOnlyItsStream)
 {
     ASSERT_TRUE(reserve("c1", 100).ok());
     std::promise<absl::Status> closed;
-    MessageClients strangers(callers, transportSettings(FleetSettings()));
-    const MessageStreamPointer stream =
-        strangers.client("127.0.0.1:" + std::to_string(home->port()))->open(kBudgetPath, "\xff\xff\xff no message");
+    MessageClients unknownClients(callers, transportSettings(FleetSettings()));
+    const MessageStreamPointer stream = unknownClients.client("127.0.0.1:" + std::to_string(home->port()))
+                                            ->open(kBudgetPath, "\xff\xff\xff no message");
     stream->start([](const std::string &) {},
                   [&closed](const absl::Status &status) {
                       closed.set_value(status);
                   });
     std::future<absl::Status> result = closed.get_future();
-    ASSERT_EQ(result.wait_for(kLong), std::future_status::ready);
+    ASSERT_EQ(result.wait_for(kAnswerTimeout), std::future_status::ready);
     EXPECT_TRUE(reserve("c2", 100).ok());
 }
 
-// A gateway that is cut off from the store reads it through the home.
-TEST_F(HomeTest, watchOfAGateway_isAnsweredFromTheStore)
+// A gateway that is cut off from the store watches the store through the home.
+TEST_F(HomeTest, watch_fromGateway_isAnsweredFromStore)
 {
     ASSERT_TRUE(reserve("c1", 100).ok());
     WatchPeers watches(clients, directory, timers);
@@ -177,7 +181,7 @@
                       });
     });
     std::future<absl::StatusOr<StoreChanges>> result = answered.get_future();
-    ASSERT_EQ(result.wait_for(kLong), std::future_status::ready);
+    ASSERT_EQ(result.wait_for(kAnswerTimeout), std::future_status::ready);
     const absl::StatusOr<StoreChanges> changes = result.get();
     ASSERT_TRUE(changes.ok()) << changes.status();
     EXPECT_FALSE(changes->objects.empty());
