--- a/tests/radishswitch-home/prepaidbudgets_test.cpp
+++ b/tests/radishswitch-home/prepaidbudgets_test.cpp
@@ -10,7 +10,8 @@
 
 using namespace RadishSwitch;
 
-/// A process's own portions, with a home elsewhere or here.
+/// Reserves against the portions of this process, either as the budget's home or as a stand-in for a home that can't be
+/// reached.
 class PrepaidBudgetsTest : public testing::Test
 {
 protected:
@@ -31,7 +32,7 @@
         return settings;
     }
 
-    /// How a reservation ends within a second.
+    /// Makes a reservation and returns its result within one second of virtual time.
     absl::Status reserve(const std::string &call, std::int64_t tokens = 100)
     {
         absl::Status result = makeFailure(FailureCode::Internal, "no answer");
@@ -63,14 +64,14 @@
     PrepaidBudgets budgets;
 };
 
-TEST_F(PrepaidBudgetsTest, reservation_storeReached_isGranted)
+TEST_F(PrepaidBudgetsTest, reservation_storeReachable_isGranted)
 {
     EXPECT_TRUE(reserve("c1").ok());
 }
 
-// A gateway is cut off from the store and from a budget's home. Its callers are refused at once, and nothing waits for
-// the store: else each gateway would take a portion of each budget in the moment in which the store is back.
-TEST_F(PrepaidBudgetsTest, standInWithoutStore_refusesAndLeavesNothingToBeWrittenLater)
+// A gateway is cut off from the store and from a budget's home. It must refuse its callers at once and leave no request
+// to the ledger pending. Otherwise each gateway takes a portion of each budget as soon as the store is back.
+TEST_F(PrepaidBudgetsTest, standIn_storeLost_refusesAndLeavesNoPendingWrite)
 {
     isStandIn = true;
     isStoreLost = true;
@@ -87,7 +88,7 @@
     }
 }
 
-TEST_F(PrepaidBudgetsTest, standInWithoutStore_spendsWhatItHolds)
+TEST_F(PrepaidBudgetsTest, standIn_storeLost_spendsPortionItHolds)
 {
     isStandIn = true;
     EXPECT_TRUE(reserve("c1").ok());
@@ -96,9 +97,10 @@
     EXPECT_TRUE(reserve("c2").ok());
 }
 
-// A payment is known to gateways by the configuration, and to the home only by what comes with their reservations. One
-// gateway is behind and still sends the older total: it must not undo the payment, nor cost a write each time.
-TEST_F(PrepaidBudgetsTest, paymentTold_isUsableAtOnceAndAnOlderTotalChangesNothing)
+// Gateways learn of a payment from their configuration, the home learns of it only from the gateways' reservations. A
+// gateway whose configuration is out of date still sends the older total. The home must not undo the payment because of
+// it, nor write to the store for each such reservation.
+TEST_F(PrepaidBudgetsTest, newerAllowance_thenOlderTotal_isUsableAtOnceAndStaysUsable)
 {
     EXPECT_EQ(failureCode(reserve("c1", 150'000)), FailureCode::BudgetExhausted);
     allowance = {2, 200'000};
