--- a/tests/radishswitch-home/homecandidacy_test.cpp
+++ b/tests/radishswitch-home/homecandidacy_test.cpp
@@ -49,10 +49,10 @@
         std::unique_ptr<HomeCandidacy> candidacy;
     };
 
-    void addHomes(int count, const std::string &zone, int targetPerZone)
+    void addHomes(int count, const std::string &zone, int target)
     {
         HomeCandidacySettings settings;
-        settings.targetPerZone = targetPerZone;
+        settings.targetPerZone = target;
         for (int n = 0; n < count; ++n) {
             const std::string name = "home-" + zone + "-" + std::to_string(n);
             const FleetPeer peer{"10.0.0.1:1", 1, zone, PeerKind::Home};
@@ -64,7 +64,7 @@
         }
     }
 
-    void advance(Duration span)
+    void runFor(Duration span)
     {
         constexpr Duration kStep = std::chrono::milliseconds(5);
         for (Duration done{}; done < span; done += kStep) {
@@ -92,7 +92,7 @@
 TEST_F(HomeCandidacyTest, homes_manyInZone_fewAnnounceThemselves)
 {
     addHomes(125, "a", 16);
-    advance(std::chrono::seconds(12));
+    runFor(std::chrono::seconds(12));
     EXPECT_GE(announcedHomes(), 16U);
     EXPECT_LE(announcedHomes(), 60U);
 }
@@ -101,14 +101,14 @@
 {
     addHomes(9, "a", 16);
     addHomes(4, "b", 16);
-    advance(std::chrono::seconds(12));
+    runFor(std::chrono::seconds(12));
     EXPECT_EQ(announcedHomes(), 13U);
 }
 
 TEST_F(HomeCandidacyTest, homes_noTargetSet_allAnnounceThemselvesAtOnce)
 {
     addHomes(125, "a", 0);
-    advance(std::chrono::milliseconds(50));
+    runFor(std::chrono::milliseconds(50));
     EXPECT_EQ(announcedHomes(), 125U);
 }
 
@@ -117,11 +117,11 @@
 TEST_F(HomeCandidacyTest, announcedHomes_removed_othersTakeTheirPlace)
 {
     addHomes(60, "a", 16);
-    advance(std::chrono::seconds(12));
+    runFor(std::chrono::seconds(12));
     const auto before = store.objects();
     for (const auto &[key, object] : before) {
         store.remove(key, object.version, [](const absl::Status &) {});
     }
-    advance(std::chrono::seconds(150));
+    runFor(std::chrono::seconds(150));
     EXPECT_GE(announcedHomes(), 16U);
 }
