--- a/tests/radishswitch-home/prepaidbudgets_test.cpp
+++ b/tests/radishswitch-home/prepaidbudgets_test.cpp
@@ -100,7 +100,7 @@
 // Gateways learn of a payment from their configuration, the home learns of it only from the gateways' reservations. A
 // gateway whose configuration is out of date still sends the older total. The home must not undo the payment because of
 // it, nor write to the store for each such reservation.
-TEST_F(PrepaidBudgetsTest, newerAllowance_thenOlderTotal_isUsableAtOnceAndStaysUsable)
+TEST_F(PrepaidBudgetsTest, paymentTold_isUsableAtOnceAndAnOlderTotalChangesNothing)
 {
     EXPECT_EQ(failureCode(reserve("c1", 150'000)), FailureCode::BudgetExhausted);
     allowance = {2, 200'000};
