--- a/src/fleet/fleetparts.cpp
+++ b/src/fleet/fleetparts.cpp
@@ -7,16 +7,18 @@
 {
     LedgerSettings ledger;
     ledger.shardCount = static_cast<std::uint32_t>(settings.ledgerShards);
-    // A sixth of what the smallest store takes. The heaviest instance is the home of most budgets of a fleet, and asks
-    // once a second for each that has run dry: with 20 it was late for every call after a loss of power.
+    // One sixth of the call rate that the smallest store accepts. The instance with the largest weight is the home of
+    // most budgets of a fleet, and asks the ledger once a second for each exhausted budget. With a rate of 20 it
+    // answered every call too late after a power failure.
     ledger.storeCallsPerSecond = 60;
     ledger.storeCallBurst = 60;
-    // A portion lasts seconds: a fifth of one is soon enough for what runs low, and lets several budgets share a write.
+    // A portion lasts for seconds, so a delay of 200 ms is short enough for a portion that runs low. In this time
+    // several budgets can share one write.
     ledger.soonDelay = std::chrono::milliseconds(200);
     ledger.relaxedDelay = std::chrono::milliseconds(800);
-    // After an outage the first callers wait no longer than this for the ledger to be asked.
+    // Bounds how long the first callers after an outage of the store wait until the ledger calls the store again.
     ledger.longestBackoff = std::chrono::milliseconds(800);
-    // Callers wait for the ledger; one call without an answer is reason enough to tell them.
+    // Callers wait for the ledger, so they are told after a single failed call that the store is unavailable.
     ledger.failuresUntilUnavailable = 1;
     ledger.cachesShards = true;
     return ledger;
@@ -28,35 +30,39 @@
     holder.incarnation = IncarnationId(settings.instance + "-" + random.freshName());
     holder.region = settings.region;
     holder.survivalTime = settings.survivalTime;
-    // Bridges the restart of a home.
+    // Long enough to cover the restart of a home.
     holder.standInSurvivalTime = std::chrono::seconds(2);
-    // Calls come in clumps of a second and sessions of a few; averaged for longer, a burst would outrun its portion.
+    // Calls come in bursts of a second and in sessions of a few seconds. With a longer averaging time, a burst would
+    // use up its portion before the average has risen.
     holder.use.averagingTime = std::chrono::seconds(4);
     holder.use.shortestAverage = std::chrono::milliseconds(1500);
-    // Of a budget with a call a second, four seconds are a handful of calls of sizes that differ a hundredfold. Quiet
-    // days with two outages of two sites, two plays each, mean worth: 0.607 with the short average alone, 0.617 with
-    // the long one too, 0.642 with one deviation, 0.649 with both; days with trouble or load lose nothing that plays
-    // would show (0.457 of 0.460).
+    // For a budget with one call a second, the short average covers only a handful of calls, whose sizes differ by a
+    // factor of a hundred. In quiet test days with two outages, of two sites with two runs each, the mean score was
+    // 0.607 with the short average alone, 0.617 with the long average in addition, 0.642 with one deviation and 0.649
+    // with both. Days with faults or load lose less than the runs vary by (0.457 instead of 0.460).
     holder.use.longAveragingTime = std::chrono::seconds(12);
     holder.use.deviations = settings.useDeviations;
-    // What lies above the low water is stranded with the rest when the home is killed; one more write costs less.
+    // The tokens above the low-water mark are stranded with the rest of the portion when the home is killed. A mark
+    // close to the target size keeps them few. It costs additional writes, but one more write costs less.
     holder.lowWaterShare = settings.lowWaterShare;
     holder.rideAlongShare = settings.rideAlongShare;
-    // The averaged use goes up and down by a fifth within a second, and the size wished for with it. Asked each time,
-    // ten budgets of two shards have these written 169 times in half a minute; with this and a wider low water 23
-    // times.
+    // The average use varies by a fifth within a second, and the target size of a portion varies with it. When a holder
+    // asked the ledger at each such change, ten budgets in two shards caused 169 writes in 30 seconds. With this
+    // interval and a larger distance to the low-water mark they caused 23.
     holder.relaxedTakeInterval = std::chrono::seconds(2);
     holder.surplusFactor = 1.5;
-    // A home that is killed takes its portion with it. Near the end of a budget nine seconds of use are most of what
-    // is left, and every later call is refused for it; a smaller share ends sooner while the store is away. Standard
-    // days of two sites, one play each, which vary by 0.02: 0.98 and 1.00 with a half, 1.00 and 1.00 with this, 0.95
-    // and 0.99 with 0.12.
+    // When a home is killed, the tokens in its portion are lost to the budget. Near the end of a budget, a portion for
+    // nine seconds of use would be most of the tokens left, and every later call would be refused after its loss. With
+    // a smaller share a portion runs out sooner while the store is unavailable. In the standard test days of two sites,
+    // one run each, the scores were 0.98 and 1.00 with a share of 0.5, 1.00 and 1.00 with 0.25, and 0.95 and 0.99 with
+    // 0.12. Such runs vary by 0.02.
     holder.shareOfFree = settings.shareOfFree;
     holder.standInShareOfFree = 0.1;
-    // What lies with the dead has every later call of a budget refused, also long after. Served in all of a budget
-    // whose home is killed with a quarter left: 0.995 with this bound, 0.873 with 2 and 0.15. Days with trouble of two
-    // sites, three plays each, mean worth: 0.678 and 0.475 with these and portions of 3 s, 0.720 and 0.517 with the
-    // bound and 9 s.
+    // Tokens in the portion of a killed home are missing until the end of the budget, so that later calls are refused.
+    // When the home was killed with a quarter of a budget left, 0.995 of the budget was served with this bound, and
+    // 0.873 with a `heldPerLeft` of 2 and a `leastHeldShare` of 0.15. In test days with faults, of two sites with three
+    // runs each, the mean scores were 0.678 and 0.475 with the latter values and portions for 3 s, and 0.720 and 0.517
+    // with this bound and portions for 9 s.
     if (settings.heldPerLeft > 0) {
         holder.heldPerLeft = settings.heldPerLeft;
         holder.leastHeldShare = settings.leastHeldShare;
@@ -65,14 +71,15 @@
     holder.requestsAhead = settings.requestsAhead;
     holder.headroomShare = settings.headroomShare;
     holder.awayHeadroomShare = settings.awayHeadroomShare;
-    // A home that stands in for another gives its portion back soon after.
+    // A home that stood in for another home returns its portion soon after the other home is back.
     holder.idleTime = std::chrono::seconds(4);
-    // Reports of spending prove nothing here, where no closer reads them; they only find idle portions.
+    // In this fleet no process closes the portions of dead holders by their spending reports. The reports only serve to
+    // find idle portions, so they can be rare.
     holder.checkpointInterval = std::chrono::seconds(8);
     holder.relaxedCheckpointInterval = std::chrono::seconds(16);
     holder.exhaustedRecheckInterval = std::chrono::seconds(1);
     holder.exhaustedRetryAfter = std::chrono::seconds(2);
-    // Another gateway may still hold a portion, and a caller's next try goes to another.
+    // A short time, since a caller's retry goes to another gateway, which may still hold a portion.
     holder.unavailableRetryAfter = std::chrono::milliseconds(200);
     return holder;
 }
@@ -88,7 +95,7 @@
 {
     TransportSettings transport;
     transport.fleetKey = settings.fleetKey;
-    // A gateway that is gone must not hold up a call for its whole target latency.
+    // Bounds the delay of a call by a gateway that is gone. It must be shorter than the target latency of the call.
     transport.connectTimeout = std::chrono::milliseconds(200);
     transport.pingInterval = std::chrono::seconds(1);
     return transport;
--- a/src/fleet/fleetparts.h
+++ b/src/fleet/fleetparts.h
@@ -7,8 +7,8 @@
 #include "http2transport.h"
 #include "serving/sharedbudgets.h"
 
-/// What the settings of the fleet's processes mean for the parts that gateways and homes have in common. Spans that no
-/// operator sets stand here with their reasons.
+/// Derives the settings of the components that gateways and homes have in common from the settings of the process. The
+/// times and limits that an operator can't set are defined here, with their reasons.
 namespace RadishSwitch
 {
 
@@ -17,7 +17,7 @@
 SharedBudgetsSettings sharedBudgetsSettings(const FleetSettings &settings);
 TransportSettings transportSettings(const FleetSettings &settings);
 
-/// How the others are to know this process.
+/// Returns the entry under which the other processes of the fleet find this one.
 FleetPeer peerOf(const FleetSettings &settings, PeerKind kind);
 
 }
