--- a/src/fleet/budgetservice.cpp
+++ b/src/fleet/budgetservice.cpp
@@ -51,8 +51,8 @@
     }
     if (message->has_handed()) {
         const wire::HandedPortion &handed = message->handed();
-        return m_budgets.returnHanded(OrganisationId(handed.organisation()), PortionId(handed.portion()),
-                                      handed.spent_tokens());
+        return m_budgets.returnHandedOver(OrganisationId(handed.organisation()), PortionId(handed.portion()),
+                                          handed.spent_tokens());
     }
     const wire::Reserve &reserve = message->reserve();
     ReservationRequest request;
@@ -80,8 +80,8 @@
     });
 }
 
-// A gateway that died can't say what its calls used. They count as used whole, which may bill too much of a budget and
-// never lets more be spent than was paid.
+// A gateway that died can't report how many tokens its calls used. Their reservations count as used completely. This
+// may bill too many tokens to a budget, but never allows more to be spent than was paid.
 void BudgetService::settleExpired()
 {
     const Instant now = m_timers.now();
--- a/src/fleet/prepaidbudgets.cpp
+++ b/src/fleet/prepaidbudgets.cpp
@@ -17,8 +17,9 @@
 const Log kLog("budget");
 
 constexpr char kBudgetName[] = "prepaid";
-/// Another gateway may hold something, and a caller's next try goes to another.
-constexpr std::chrono::milliseconds kLostRetryAfter{200};
+/// Time after which a caller may retry when the store is lost. It is short because the retry goes to another gateway,
+/// which may still hold tokens.
+constexpr std::chrono::milliseconds kStoreLostRetryAfter{200};
 
 }
 
@@ -61,48 +62,50 @@
 
 void PrepaidBudgets::handleExhausted(const BudgetId &budget, const BudgetSnapshot &snapshot)
 {
-    HeldBudgetStatus::Portion here;
+    HeldBudgetStatus::Portion held;
     if (const std::optional<HeldBudgetStatus> status = m_holder.budgetStatus(budget)) {
         for (const HeldBudgetStatus::Portion &it : status->portions) {
-            here.granted += it.granted;
-            here.spent += it.spent;
-            here.reserved += it.reserved;
+            held.granted += it.granted;
+            held.spent += it.spent;
+            held.reserved += it.reserved;
         }
     }
-    kLog.info("nothing left to grant",
+    kLog.info("the ledger has no free tokens left to grant",
               {field("budget", budget.toString()), field("paid", snapshot.paid), field("settled", snapshot.settled),
                field("free", snapshot.free), field("portions", snapshot.portions),
-               field("unspent_in_portions", snapshot.unspentInPortions), field("granted_here", here.granted),
-               field("spent_here", here.spent), field("reserved_here", here.reserved)});
+               field("unspent_in_portions", snapshot.unspentInPortions), field("granted_here", held.granted),
+               field("spent_here", held.spent), field("reserved_here", held.reserved)});
 }
 
 void PrepaidBudgets::reserveLocally(const ReservationRequest &request, ReservationCallback callback)
 {
-    book(request.budget, request.allowance);
-    // What is asked of a lost ledger is not given up: once the store is back, each process that was cut off would take
-    // a portion of each budget that it saw calls for, and all would write the same objects at once.
-    if (request.isStandIn && m_isStoreLost() && !holds(request)) {
-        return callback(makeFailure(FailureCode::BudgetUnavailable, "the store is lost and too little is held here",
-                                    kLostRetryAfter));
+    submitAllowance(request.budget, request.allowance);
+    // A request to the ledger stays pending while the store is lost. Once the store is back, each process that was cut
+    // off would take a portion of each budget that it had calls for, and all would write the same objects at once. A
+    // stand-in that has too few tokens therefore refuses without asking the ledger.
+    if (request.isStandIn && m_isStoreLost() && !hasTokensFor(request)) {
+        return callback(makeFailure(FailureCode::BudgetUnavailable,
+                                    "the store can't be reached and this process holds too few tokens",
+                                    kStoreLostRetryAfter));
     }
     m_holder.reserve(request, std::move(callback));
 }
 
-bool PrepaidBudgets::holds(const ReservationRequest &request) const
+bool PrepaidBudgets::hasTokensFor(const ReservationRequest &request) const
 {
     const std::optional<HeldBudgetStatus> status = m_holder.budgetStatus(request.budget);
     return status && status->available >= request.tokens;
 }
 
-void PrepaidBudgets::book(const BudgetId &budget, const Allowance &allowance)
+void PrepaidBudgets::submitAllowance(const BudgetId &budget, const Allowance &allowance)
 {
-    Allowance &booked = m_booked[budget];
-    // A gateway that is behind still sends what an older version says.
-    if (allowance.version <= booked.version) {
+    Allowance &submitted = m_submittedAllowances[budget];
+    // A gateway whose configuration is out of date still sends an older version of the allowance.
+    if (allowance.version <= submitted.version) {
         return;
     }
-    const bool isSameTotal = allowance.tokens == booked.tokens;
-    booked = allowance;
+    const bool isSameTotal = allowance.tokens == submitted.tokens;
+    submitted = allowance;
     if (isSameTotal) {
         return;
     }
@@ -111,9 +114,9 @@
                                                           m_timers.wallClockMilliseconds());
     m_ledger.submit(budget, change, Urgency::Urgent, [change](const absl::Status &status) {
         if (status.ok()) {
-            kLog.info("allowance booked", {field("change", change->describe())});
+            kLog.info("allowance written to the ledger", {field("change", change->describe())});
         } else {
-            kLog.error("allowance not booked",
+            kLog.error("allowance not written to the ledger",
                        {field("change", change->describe()), field("error", std::string(status.message()))});
         }
     });
@@ -124,16 +127,17 @@
     return m_ledger.isStoreUnavailable(m_ledger.shardOf(budget)) || m_isStoreLost();
 }
 
-void PrepaidBudgets::returnHanded(const OrganisationId &organisation, const PortionId &portion,
-                                  std::int64_t spentTokens)
+void PrepaidBudgets::returnHandedOver(const OrganisationId &organisation, const PortionId &portion,
+                                      std::int64_t spentTokens)
 {
     const BudgetId budget = budgetOf(organisation);
-    kLog.info("portion handed over", {field("portion", portion.value()), field("spent", spentTokens)});
+    kLog.info("returning a portion that a stopping gateway handed over",
+              {field("portion", portion.value()), field("spent", spentTokens)});
     m_ledger.submit(budget, std::make_shared<ReturnPortionChange>(budget, portion, spentTokens), Urgency::Soon,
                     [portion](const absl::Status &status) {
                         if (!status.ok()) {
                             kLog.error(
-                                "handed portion not returned",
+                                "portion of a stopped gateway not returned",
                                 {field("portion", portion.value()), field("error", std::string(status.message()))});
                         }
                     });
@@ -143,7 +147,7 @@
 {
     const absl::Status status = m_holder.settle(call, usedTokens);
     if (!status.ok()) {
-        kLog.error("charge out of range", {field("call", call.value()), field("tokens", usedTokens)});
+        kLog.error("number of used tokens out of range", {field("call", call.value()), field("tokens", usedTokens)});
     }
 }
 
