--- a/src/fleet/budgetservice.h
+++ b/src/fleet/budgetservice.h
@@ -8,14 +8,14 @@
 namespace RadishSwitch
 {
 
-/// Lets gateways reserve against the portions of this process.
+/// Serves the reservations that other gateways make against the portions of this process.
 class BudgetService
 {
 public:
     BudgetService(PrepaidBudgets &budgets, TimerService &timers);
     ~BudgetService();
 
-    /// Serves a stream of another gateway.
+    /// Serves a stream that another gateway has opened.
     void serve(const MessageStreamPointer &stream);
 
 private:
@@ -32,7 +32,8 @@
     PrepaidBudgets &m_budgets;
     TimerService &m_timers;
     TimerId m_timer = 0;
-    /// In the order of their making, which is that of their ends: all gateways use the same span.
+    /// Reservations that other gateways made, in the order in which they were made. They also expire in this order,
+    /// since all gateways use the same expiry time.
     std::deque<Expiry> m_expiries;
 };
 
