--- a/src/fleet/budgetpeers.cpp
+++ b/src/fleet/budgetpeers.cpp
@@ -11,12 +11,14 @@
 namespace
 {
 
-/// The ledger answers within tens of milliseconds on ordinary days.
-constexpr std::chrono::milliseconds kLateRetryAfter{200};
+/// Time after which a caller may retry when the ledger was late. The ledger usually answers within tens of
+/// milliseconds.
+constexpr std::chrono::milliseconds kLedgerLateRetryAfter{200};
 
-/// Off the time that a home may take: its answer has to come back. A home that refuses at the deadline itself is taken
-/// for one that did not answer, and the caller hears of a late ledger in place of the true reason.
-constexpr std::chrono::milliseconds kTravel{10};
+/// Time for the way back of the home's answer, which is deducted from the time that the home may take. The answer of a
+/// home that refuses exactly at the deadline would come too late, and the caller would be told of a late ledger instead
+/// of the home's reason.
+constexpr std::chrono::milliseconds kAnswerTravelTime{10};
 
 std::int64_t milliseconds(Duration span)
 {
@@ -59,7 +61,7 @@
     reserve.set_organisation(request.budget.organisation.value());
     reserve.set_tokens(request.tokens);
     reserve.set_wait_ms(
-        milliseconds(std::max<Duration>(request.deadline - m_timers.now() - kTravel, Duration::zero())));
+        milliseconds(std::max<Duration>(request.deadline - m_timers.now() - kAnswerTravelTime, Duration::zero())));
     reserve.set_expires_ms(milliseconds(m_expiry));
     reserve.set_is_urgent(request.isUrgent);
     reserve.set_is_stand_in(request.isStandIn);
@@ -71,7 +73,7 @@
     });
     m_links[peer].pending[call] = Pending{std::move(callback), timer, m_timers.now(), request.deadline};
     if (!send(peer, message.SerializeAsString())) {
-        finish(peer, call, makeFailure(FailureCode::ConnectionLost, "no way to gateway " + peer));
+        finish(peer, call, makeFailure(FailureCode::ConnectionLost, "no address is known of peer " + peer));
     }
 }
 
@@ -87,7 +89,8 @@
 
 void BudgetPeers::settle(const std::string &peer, const RequestId &call, std::int64_t usedTokens)
 {
-    // A settlement that gets lost is made good by the expiry of the reservation, on the safe side.
+    // If the settlement is lost, the reservation expires at the peer, which then counts all of its tokens as used. This
+    // may bill too many tokens, but never allows more to be spent than was paid.
     (void)send(peer, settleFrame(call, usedTokens));
 }
 
@@ -128,10 +131,11 @@
         }
         return;
     }
-    m_links[peer].heardAt = m_timers.now();
+    m_links[peer].lastAnswerAt = m_timers.now();
     const RequestId call(answer->call());
     if (!m_links[peer].pending.contains(call)) {
-        // The answer came too late: the call has gone elsewhere, and leaves its reservation here unused.
+        // The answer came too late and this gateway no longer waits for it. If the peer made the reservation, the
+        // gateway releases it with zero used tokens.
         if (!answer->has_refused()) {
             (void)send(peer, settleFrame(call, 0));
         }
@@ -163,10 +167,11 @@
         return;
     }
     Pending &pending = it->second;
-    if (link.heardAt < pending.askedAt) {
-        return finish(peer, call, makeFailure(FailureCode::ConnectionSilent, "gateway " + peer + " is silent"));
+    if (link.lastAnswerAt < pending.sentAt) {
+        return finish(peer, call, makeFailure(FailureCode::ConnectionSilent, "peer " + peer + " is silent"));
     }
-    // A peer that answers others meanwhile is sound; this call waits there for the ledger, as long as it may.
+    // The peer has answered other calls in the meantime, so it is reachable. This call waits at the peer for the ledger
+    // and may do so until its deadline.
     if (m_timers.now() < pending.deadline) {
         pending.timer = m_timers.after(pending.deadline - m_timers.now(), [this, peer, call] {
             handleTimeout(peer, call);
@@ -174,7 +179,8 @@
         return;
     }
     finish(peer, call,
-           makeFailure(FailureCode::LedgerLate, "gateway " + peer + " did not answer in time", kLateRetryAfter));
+           makeFailure(FailureCode::LedgerLate, "peer " + peer + " did not answer before the deadline",
+                       kLedgerLateRetryAfter));
 }
 
 void BudgetPeers::finish(const std::string &peer, const RequestId &call, const absl::Status &status)
--- a/src/fleet/budgetpeers.h
+++ b/src/fleet/budgetpeers.h
@@ -11,20 +11,20 @@
 namespace RadishSwitch
 {
 
-/// Path of the streams on which gateways reserve at each other.
+/// Path of the streams on which gateways reserve tokens at homes and at other gateways.
 inline constexpr char kBudgetPath[] = "/budget";
 
-/// Reserves at homes and other gateways, over one stream to each that is opened when it is first needed.
+/// Reserves tokens at homes and other gateways. Uses one stream to each peer, which is opened when it is first needed.
 class BudgetPeers : public BudgetPeerPort
 {
 public:
-    /// A reservation that is not settled after `expiry` counts as used whole at the peer.
+    /// If a reservation is not settled within `expiry`, the peer counts all of its tokens as used.
     BudgetPeers(MessageClients &clients, const HomeDirectory &homes, TimerService &timers, Duration expiry);
     ~BudgetPeers() override;
 
     void reserve(const std::string &peer, const ReservationRequest &request, Duration timeout,
                  std::function<void(absl::Status)> callback) override;
-    /// Has a peer give back a portion of this gateway, which spends no more of it.
+    /// Asks a peer to return a portion of this gateway to the ledger. This gateway must spend no more tokens of it.
     void handOver(const std::string &peer, const BudgetId &budget, const PortionId &portion, std::int64_t spentTokens);
 
     void settle(const std::string &peer, const RequestId &call, std::int64_t usedTokens) override;
@@ -33,15 +33,15 @@
     struct Pending {
         std::function<void(absl::Status)> callback;
         TimerId timer = 0;
-        Instant askedAt{};
-        /// Until then a sound peer may let the call wait.
+        Instant sentAt{};
+        /// Until this time, a peer that answers other calls may let this call wait.
         Instant deadline{};
     };
 
     struct Link {
         MessageStreamPointer stream;
-        /// When an answer came last.
-        Instant heardAt = Instant::min();
+        /// Time of the peer's last answer.
+        Instant lastAnswerAt = Instant::min();
         absl::flat_hash_map<RequestId, Pending> pending;
     };
 
