--- a/src/fleet/countedstore.cpp
+++ b/src/fleet/countedstore.cpp
@@ -78,20 +78,20 @@
                                       {{"purpose", purpose}});
     }
     it.total->add();
-    ++it.untold;
+    ++it.unlogged;
     if (m_timer == 0) {
-        m_timer = m_timers.after(kTellInterval, [this] {
+        m_timer = m_timers.after(kLogInterval, [this] {
             m_timer = 0;
-            tell();
+            logCounts();
         });
     }
 }
 
-void CountedStore::tell()
+void CountedStore::logCounts()
 {
     std::string text;
     for (auto &[purpose, it] : m_counts) {
-        if (const int n = std::exchange(it.untold, 0); n > 0) {
+        if (const int n = std::exchange(it.unlogged, 0); n > 0) {
             text += (text.empty() ? "" : ", ") + purpose + " " + std::to_string(n);
         }
     }
--- a/src/fleet/countedstore.h
+++ b/src/fleet/countedstore.h
@@ -10,12 +10,12 @@
 namespace RadishSwitch
 {
 
-/// A store whose calls are counted by what they are for: the platform charges for each, and turns down those beyond a
-/// rate. A line tells the counts of each span of `kTellInterval` in which there were any.
+/// Counts the calls to a store by purpose, since the platform charges for each call and rejects calls beyond a maximum
+/// rate. While there are calls, logs their counts once per `kLogInterval`.
 class CountedStore : public ForwardingStore
 {
 public:
-    static constexpr Duration kTellInterval = std::chrono::seconds(10);
+    static constexpr Duration kLogInterval = std::chrono::seconds(10);
 
     CountedStore(ObjectStore &store, TimerService &timers, Metrics &metrics);
     ~CountedStore() override;
@@ -32,12 +32,12 @@
 private:
     struct Count {
         Counter *total = nullptr;
-        int untold = 0;
+        int unlogged = 0;
     };
 
-    /// Purposes are the kind of call and of object: "list servers", "put ledger".
+    /// Counts a call under its purpose, which is the kind of call and the kind of object: "list servers", "put ledger".
     void count(const std::string &verb, const std::string &key);
-    void tell();
+    void logCounts();
 
     TimerService &m_timers;
     Metrics &m_metrics;
