--- a/src/fleet/peerannouncement.cpp
+++ b/src/fleet/peerannouncement.cpp
@@ -11,6 +11,7 @@
 namespace
 {
 
+/// Minimum delay before the next try after a failed call to the store. A random time up to the same length is added.
 constexpr Duration kRetryPause = std::chrono::seconds(1);
 
 }
--- a/src/fleet/peerannouncement.h
+++ b/src/fleet/peerannouncement.h
@@ -10,10 +10,10 @@
 namespace RadishSwitch
 {
 
-/// Makes this process known to the others through the platform's store.
+/// Announces this process to the other processes of the fleet by an object in the platform's store.
 ///
-/// A restart finds its object as it left it and writes nothing, so that restarts cost the fleet no news. Whether a
-/// process lives is for those to find out who call it.
+/// After a restart the process finds its object unchanged and writes nothing, so a restart causes no update to the
+/// other processes. The object does not tell whether the process is running; the processes that call it find that out.
 class PeerAnnouncement
 {
 public:
@@ -24,8 +24,9 @@
     PeerAnnouncement(const PeerAnnouncement &) = delete;
     PeerAnnouncement &operator=(const PeerAnnouncement &) = delete;
 
-    /// On the fleet's first start nothing is there to be read; after it, what is there is mostly what this process
-    /// would write. Either way most starts make one call.
+    /// Makes one call to the store in most cases. On the fleet's first start the store has no object yet, so the
+    /// process writes its object without reading. On later starts it reads the object and writes it only if the value
+    /// differs.
     void start(bool isFirstStart);
 
 private:
--- a/src/fleet/peerentry.h
+++ b/src/fleet/peerentry.h
@@ -9,13 +9,13 @@
 namespace RadishSwitch
 {
 
-/// Prefix of the store's objects by which the processes of the fleet find one another, one object an instance.
+/// Prefix of the objects in the store by which the processes of the fleet find each other. Each process has one object.
 inline constexpr char kPeersPrefix[] = "gateways/";
 
-/// The value of a process's object.
+/// Returns the value of the object that announces a process.
 std::string writePeerEntry(const FleetPeer &peer);
 
-/// ObjectMalformed when the value can't be read.
+/// Parses the value of such an object. Fails with ObjectMalformed if the value can't be parsed.
 absl::StatusOr<FleetPeer> readPeerEntry(const std::string &value);
 
 }
--- a/src/fleet/peerregistry.cpp
+++ b/src/fleet/peerregistry.cpp
@@ -16,7 +16,8 @@
 ObjectFollowerSettings followerSettings()
 {
     ObjectFollowerSettings follower;
-    // Many come and go together: a release, a loss of power. What comes within this is read as one.
+    // Many processes start or stop together, for example at a release or after a power failure. All changes within this
+    // time are read together.
     follower.changePause = std::chrono::milliseconds(200);
     return follower;
 }
@@ -34,7 +35,7 @@
     m_isKnown = true;
     m_peers.clear();
     for (const StoredObject &object : objects) {
-        takeIn(object);
+        updatePeer(object);
     }
     m_onChanged(m_peers);
 }
@@ -42,12 +43,12 @@
 void PeerRegistry::objectsChanged(const std::vector<StoredObject> &objects)
 {
     for (const StoredObject &object : objects) {
-        takeIn(object);
+        updatePeer(object);
     }
     m_onChanged(m_peers);
 }
 
-void PeerRegistry::takeIn(const StoredObject &object)
+void PeerRegistry::updatePeer(const StoredObject &object)
 {
     const std::string name = object.key.substr(std::char_traits<char>::length(kPeersPrefix));
     if (object.version == 0) {
@@ -56,12 +57,12 @@
     }
     const absl::StatusOr<FleetPeer> peer = readPeerEntry(object.value);
     if (!peer.ok()) {
-        kLog.error("an entry can't be read",
+        kLog.error("the entry of a peer can't be read",
                    {field("process", name), field("error", std::string(peer.status().message()))});
         return;
     }
     m_peers[name] = *peer;
-    kLog.debug("known", {field("process", name), field("address", peer->address)});
+    kLog.debug("peer listed", {field("process", name), field("address", peer->address)});
 }
 
 }
--- a/src/fleet/peerregistry.h
+++ b/src/fleet/peerregistry.h
@@ -9,7 +9,7 @@
 namespace RadishSwitch
 {
 
-/// Learns of the other processes of the fleet through the platform's store.
+/// Keeps a list of the other processes of the fleet by following their objects in the platform's store.
 class PeerRegistry : private ObjectListener
 {
 public:
@@ -17,13 +17,14 @@
 
     PeerRegistry(ObjectStore &store, TimerService &timers, RandomSource &random, Callback onChanged);
 
-    /// Follows the others' objects; to be started by the owner.
+    /// Follows the objects of the other processes. The owner of the registry must start it.
     ObjectFollower &follower()
     {
         return m_follower;
     }
 
-    /// Whether the others were listed once. Before that a gateway takes itself for the home of everything.
+    /// Whether the other processes have been listed at least once. Until then a gateway knows no other process and acts
+    /// as the home of all budgets.
     bool isKnown() const
     {
         return m_isKnown;
@@ -32,7 +33,7 @@
 private:
     void objectsListed(const std::vector<StoredObject> &objects) override;
     void objectsChanged(const std::vector<StoredObject> &objects) override;
-    void takeIn(const StoredObject &object);
+    void updatePeer(const StoredObject &object);
 
     const Callback m_onChanged;
     ObjectFollower m_follower;
