--- a/src/fleet/budgetmetrics.h
+++ b/src/fleet/budgetmetrics.h
@@ -6,7 +6,7 @@
 namespace RadishSwitch
 {
 
-/// Sets the gauges that tell what a process holds of each budget.
+/// Sets the gauges of the portions that this process holds of each budget.
 void countBudgets(const BudgetHolder &holder, Metrics &metrics);
 
 }
--- a/src/fleet/fleetstore.h
+++ b/src/fleet/fleetstore.h
@@ -10,18 +10,18 @@
 namespace RadishSwitch
 {
 
-/// How a process of the fleet uses the platform's store.
+/// Settings for the access of one process to the platform's store.
 struct FleetStoreSettings {
-    /// "ip:port".
+    /// Address of the store as "ip:port".
     std::string address;
-    /// How long a watch without news may last.
+    /// Maximum time that a watch waits for a change.
     Duration watchWait{};
-    /// Prefix of objects of which old news will do: they are watched at the lower price of answers that may be seconds
-    /// old.
+    /// Prefix of the objects for which outdated answers are acceptable. They are watched with relaxed calls, whose
+    /// answers may be seconds old and which cost less.
     std::string relaxedPrefix;
 };
 
-/// The store of the platform that this build is for.
+/// Creates the client for the store of the platform that this build is for.
 std::unique_ptr<ObjectStore> makeFleetStore(WorkerPool &workers, const FleetStoreSettings &settings);
 
 }
--- a/src/fleet/watchpeers.h
+++ b/src/fleet/watchpeers.h
@@ -10,13 +10,13 @@
 namespace RadishSwitch
 {
 
-/// Path of the streams on which gateways watch through one another.
+/// Path of the streams on which gateways watch the store through homes and other gateways.
 inline constexpr char kWatchPath[] = "/watch";
 
-/// Serves a question on `stream` with what the store itself answers: for gateways that are cut off from it.
+/// Answers a watch or list request on `stream` from the store itself, for gateways that are cut off from the store.
 void serveFromStore(ObjectStore &store, const MessageStreamPointer &stream);
 
-/// Watches through other gateways, and lets others watch through this one's logs.
+/// Watches the store through other processes, and lets other gateways watch through the watch logs of this gateway.
 class WatchPeers : public WatchPeerPort
 {
 public:
@@ -25,10 +25,10 @@
     void watch(const std::string &peer, const std::string &prefix, std::uint64_t fromVersion, Duration timeout,
                ObjectStore::Callback<StoreChanges> callback) override;
 
-    /// The log of a prefix, which this gateway's follower is to fill.
+    /// Returns the watch log of a prefix, creating it if needed. This gateway's follower of the prefix must fill it.
     WatchLog &log(const std::string &prefix);
 
-    /// Serves a stream of another gateway.
+    /// Serves a stream that another gateway has opened. Cancels it if there is no log of the requested prefix.
     void serve(const MessageStreamPointer &stream);
 
 private:
