--- a/src/fleet/peerentry.h
+++ b/src/fleet/peerentry.h
@@ -9,7 +9,8 @@
 namespace RadishSwitch
 {
 
-/// Prefix of the objects in the store by which the processes of the fleet find each other. Each instance has one object.
+/// Prefix of the objects in the store by which the processes of the fleet find each other. Each instance has one
+/// object.
 inline constexpr char kPeersPrefix[] = "gateways/";
 
 /// Returns the value of the object that announces a process.
