--- a/src/fleet/fleetparts.cpp
+++ b/src/fleet/fleetparts.cpp
@@ -37,32 +37,25 @@
     holder.use.averagingTime = std::chrono::seconds(4);
     holder.use.shortestAverage = std::chrono::milliseconds(1500);
     // For a budget with one call a second, the short average covers only a handful of calls, whose sizes differ by a
-    // factor of a hundred. In quiet test days with two outages, of two sites with two runs each, the mean score was
-    // 0.607 with the short average alone, 0.617 with the long average in addition, 0.642 with one deviation and 0.649
-    // with both. Days with faults or load lose less than the runs vary by (0.457 instead of 0.460).
+    // factor of a hundred. The long average and the deviations keep a few small calls from making the portion too
+    // small.
     holder.use.longAveragingTime = std::chrono::seconds(12);
     holder.use.deviations = settings.useDeviations;
     // The tokens above the low-water mark are stranded with the rest of the portion when the home is killed. A mark
     // close to the target size keeps them few. It costs additional writes, but one more write costs less.
     holder.lowWaterShare = settings.lowWaterShare;
     holder.rideAlongShare = settings.rideAlongShare;
-    // The average use varies by a fifth within a second, and the target size of a portion varies with it. When a holder
-    // asked the ledger at each such change, ten budgets in two shards caused 169 writes in 30 seconds. With this
-    // interval and a larger distance to the low-water mark they caused 23.
+    // The average use varies by a fifth within a second, and the target size of a portion varies with it. Without this
+    // interval and a larger distance to the low-water mark, ten budgets in two shards cause 169 writes in 30 seconds.
     holder.relaxedTakeInterval = std::chrono::seconds(2);
     holder.surplusFactor = 1.5;
-    // When a home is killed, the tokens in its portion are lost to the budget. Near the end of a budget, a portion for
-    // nine seconds of use would be most of the tokens left, and every later call would be refused after its loss. With
-    // a smaller share a portion runs out sooner while the store is unavailable. In the standard test days of two sites,
-    // one run each, the scores were 0.98 and 1.00 with a share of 0.5, 1.00 and 1.00 with 0.25, and 0.95 and 0.99 with
-    // 0.12. Such runs vary by 0.02.
+    // When a home is killed, the tokens in its portion are lost to the budget, and nine seconds of use are most of what
+    // is left near the end of a budget. With a smaller share, a portion runs out sooner while the store is unavailable.
     holder.shareOfFree = settings.shareOfFree;
     holder.standInShareOfFree = 0.1;
     // Tokens in the portion of a killed home are missing until the end of the budget, so that later calls are refused.
-    // When the home was killed with a quarter of a budget left, 0.995 of the budget was served with this bound, and
-    // 0.873 with a `heldPerLeft` of 2 and a `leastHeldShare` of 0.15. In test days with faults, of two sites with three
-    // runs each, the mean scores were 0.678 and 0.475 with the latter values and portions for 3 s, and 0.720 and 0.517
-    // with this bound and portions for 9 s.
+    // With a `heldPerLeft` of 2 and a `leastHeldShare` of 0.15, a home killed with a quarter of a budget left costs an
+    // eighth of the budget.
     if (settings.heldPerLeft > 0) {
         holder.heldPerLeft = settings.heldPerLeft;
         holder.leastHeldShare = settings.leastHeldShare;
--- a/src/fleet/fleetsettings.h
+++ b/src/fleet/fleetsettings.h
@@ -52,13 +52,11 @@
     /// The bound above is never smaller than this share of the tokens left in the budget.
     double leastHeldShare = 0.1;
     /// Headroom: share of each prepaid budget that is reserved for the calls of the most urgent routes. Where these
-    /// calls use an eighth of the tokens, the headroom lasts them for 16 seconds. In the standard test days of two
-    /// sites, two runs each, the mean score of the days with faults or load was 0.448 without headroom, 0.453 with
-    /// 0.02, 0.460 with 0.03, 0.449 with 0.04 and 0.427 with 0.05.
+    /// calls use an eighth of the tokens, the headroom lasts them for 16 seconds. A larger one withholds more
+    /// tokens from the other calls.
     double headroomShare = 0.03;
-    /// Headroom of a portion while the store is unavailable, as a share of the portion. In quiet test days with two
-    /// outages, run as above, the mean score was 0.590 with neither headroom, 0.580 without this one, 0.607 with 0.15
-    /// and 0.569 with 0.3.
+    /// Headroom of a portion while the store is unavailable, as a share of the portion. Without it, other calls can
+    /// use up the portion before the most urgent ones arrive; a larger one makes the others be refused sooner.
     double awayHeadroomShare = 0.15;
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -289,7 +289,7 @@
 boost::asio::awaitable<void> Gateway::serve(HttpExchange &exchange)
 {
     // After a power loss all gateways start at once. Gateways that do not know their peers yet would all take portions
-    // of every budget at the same time; 1,600 calls to the store within six seconds were measured.
+    // of every budget at the same time, which takes 1,600 calls to the store within six seconds.
     Call call(m_services, exchange, isServing() ? m_configuration.table() : nullptr);
     co_await call.run();
 }
--- a/src/gateway/gatewaysettings.h
+++ b/src/gateway/gatewaysettings.h
@@ -28,10 +28,9 @@
     std::string zoneRegions;
     /// Share of the change bound after which a watch without changes is renewed at the store.
     double watchShare = 0.4;
-    /// How long a starting gateway leaves connections unaccepted while its configuration is not known. Callers give up
-    /// after a second, and a gateway mostly knows its configuration 0.4 s after a restart. In two test days with 23 and
-    /// 27 gateways and a power loss, 860 and 670 calls were refused for lack of a configuration without this wait, and
-    /// 394 and 518 with it.
+    /// How long a starting gateway leaves connections unaccepted while its configuration is not known, so that fewer
+    /// calls are refused for lack of it. A gateway mostly knows its configuration 0.4 s after a restart, and callers
+    /// give up after a second.
     Duration maximumAcceptDelay = std::chrono::milliseconds(700);
     /// Maximum idle time of a connection that is used for a call which cannot be repeated.
     Duration maximumIdleUnrepeatable = std::chrono::milliseconds(1500);
