--- a/src/fleet/budgetservice.cpp
+++ b/src/fleet/budgetservice.cpp
@@ -47,12 +47,12 @@
         return stream->cancel();
     }
     if (message->has_settle()) {
-        return m_budgets.settleHere(RequestId(message->settle().call()), message->settle().used_tokens());
+        return m_budgets.settleLocally(RequestId(message->settle().call()), message->settle().used_tokens());
     }
     if (message->has_handed()) {
         const wire::HandedPortion &handed = message->handed();
-        return m_budgets.returnHanded(OrganisationId(handed.organisation()), PortionId(handed.portion()),
-                                      handed.spent_tokens());
+        return m_budgets.returnHandedOver(OrganisationId(handed.organisation()), PortionId(handed.portion()),
+                                          handed.spent_tokens());
     }
     const wire::Reserve &reserve = message->reserve();
     ReservationRequest request;
@@ -68,7 +68,7 @@
 
 void BudgetService::reserve(const MessageStreamPointer &stream, const ReservationRequest &request, Duration expiry)
 {
-    m_budgets.reserveHere(request, [this, stream, request, expiry](const absl::StatusOr<Reservation> &reservation) {
+    m_budgets.reserveLocally(request, [this, stream, request, expiry](const absl::StatusOr<Reservation> &reservation) {
         wire::BudgetAnswer answer;
         answer.set_call(request.request.value());
         if (reservation.ok()) {
@@ -80,13 +80,13 @@
     });
 }
 
-// A gateway that died can't say what its calls used. They count as used whole, which may bill too much of a budget and
-// never lets more be spent than was paid.
+// A gateway that died can't report how many tokens its calls used. Their reservations count as used completely. This
+// may bill too many tokens to a budget, but never allows more to be spent than was paid.
 void BudgetService::settleExpired()
 {
     const Instant now = m_timers.now();
     while (!m_expiries.empty() && m_expiries.front().at <= now) {
-        m_budgets.settleHere(m_expiries.front().call, m_expiries.front().tokens);
+        m_budgets.settleLocally(m_expiries.front().call, m_expiries.front().tokens);
         m_expiries.pop_front();
     }
 }
--- a/src/gateway/callintake.cpp
+++ b/src/gateway/callintake.cpp
@@ -13,8 +13,8 @@
 
 const Log kLog("intake");
 
-/// The next try goes to another instance, which has time: there is nothing to wait for, but for a crowd of callers that
-/// should not come all at once.
+/// The retry normally reaches another instance that has capacity, so that a long wait is not needed. The short wait
+/// spreads out a crowd of callers.
 constexpr std::chrono::milliseconds kRetryAfter{20};
 
 }
@@ -31,9 +31,8 @@
     , m_settings(settings)
     , m_shedder(settings)
     , m_onAwayChanged(std::move(onAwayChanged))
-    , m_refusal(protocol.failure(
-          makeFailure(FailureCode::Overloaded, "this instance has no time for more calls", kRetryAfter)))
-    , m_stopRefusal(protocol.failure(makeFailure(FailureCode::Draining, "this instance stops", kRetryAfter)))
+    , m_refusal(protocol.failure(makeFailure(FailureCode::Overloaded, "this instance is overloaded", kRetryAfter)))
+    , m_stopRefusal(protocol.failure(makeFailure(FailureCode::Draining, "this instance is shutting down", kRetryAfter)))
 {
 }
 
@@ -53,26 +52,26 @@
         return true;
     }
     const Instant now = m_timers.now();
-    if (m_isMeasuring) {
-        m_shedder.noteWaiting(now - m_askedAt, now);
+    if (m_isProbePending) {
+        m_shedder.noteOverdue(now - m_probeStartedAt, now);
     } else {
-        measure(now);
+        startProbe(now);
     }
     return m_shedder.isShedding(now) || m_link.isShedding(now);
 }
 
-void CallIntake::measure(Instant now)
+void CallIntake::startProbe(Instant now)
 {
-    m_isMeasuring = true;
-    m_askedAt = now;
+    m_isProbePending = true;
+    m_probeStartedAt = now;
     m_workers.post([this, alive = std::weak_ptr<int>(m_alive)] {
         if (alive.expired()) {
             return;
         }
         const Instant now = m_timers.now();
-        m_isMeasuring = false;
-        m_delay = now - m_askedAt;
-        m_shedder.noteDelay(m_delay, now);
+        m_isProbePending = false;
+        m_queueDelay = now - m_probeStartedAt;
+        m_shedder.noteDelay(m_queueDelay, now);
     });
 }
 
@@ -80,16 +79,16 @@
 {
     const Instant now = m_timers.now();
     if (m_isStopped) {
-        kLog.info("call refused at the stop", {field("call", m_protocol.callId(request).value())});
+        kLog.info("call refused during shutdown", {field("call", m_protocol.callId(request).value())});
         return m_stopRefusal;
     }
     const bool isLinkFull = m_link.isShedding(now);
     isLinkFull ? m_link.noteRefused(now) : m_shedder.noteRefused(now);
     m_metrics.noteRefusedUnread();
     const RequestId call = m_protocol.callId(request);
-    if (m_sampler.keeps(call, now)) {
-        kLog.warning("call refused unread",
-                     {field("call", call.value()), field("delay", m_delay), field("link_full", isLinkFull)});
+    if (m_sampler.shouldLog(call, now)) {
+        kLog.warning("call refused because of overload",
+                     {field("call", call.value()), field("delay", m_queueDelay), field("link_full", isLinkFull)});
     }
     updateAway();
     return m_refusal;
@@ -98,15 +97,17 @@
 void CallIntake::updateAway()
 {
     const Instant now = m_timers.now();
-    const bool isAway = m_shedder.isAway(now) || m_link.isAway(now);
+    const bool isAway = m_shedder.isDiverting(now) || m_link.isDiverting(now);
     if (isAway && m_timer == 0) {
-        m_timer = m_timers.after(m_settings.awayFor, [this] {
+        m_timer = m_timers.after(m_settings.divertFor, [this] {
             m_timer = 0;
             updateAway();
         });
     }
     if (std::exchange(m_isAway, isAway) != isAway) {
-        kLog.warning(isAway ? "new callers sent elsewhere" : "new callers taken again", {field("delay", m_delay)});
+        kLog.warning(isAway ? "overloaded, reporting not ready to the load balancer"
+                            : "no longer overloaded, reporting ready again",
+                     {field("delay", m_queueDelay)});
         m_onAwayChanged();
     }
 }
--- a/src/gateway/callsuccessor.cpp
+++ b/src/gateway/callsuccessor.cpp
@@ -18,41 +18,41 @@
 
 }
 
-bool Call::isPaused(const Attempt &attempt, const absl::Status &status) const
+bool Call::isSilentButOpen(const Attempt &attempt, const absl::Status &status) const
 {
     return failureCode(status) == FailureCode::ConnectionSilent && attempt.connection->isOpen()
         && timeLeft() > Duration::zero();
 }
 
-// No wait is worth a pause where no further attempt can follow it.
-Duration Call::untilNextLook(Duration wait) const
+// If no further attempt is possible, there is nothing to do at a pause, so the wait lasts until the deadline.
+Duration Call::silenceTimeout(Duration wait) const
 {
     const bool mayBeReplaced = mayRunAgain() && m_history.sent < m_history.maximumAttempts;
-    return mayBeReplaced ? within(wait) : rest();
+    return mayBeReplaced ? limitToTimeLeft(wait) : remainingWait();
 }
 
-// An endpoint that says nothing may be at work: it reads long prompts, or has taken over the work of others. Left
-// before another one has taken the call, it would be an answer lost that was on its way. So it is kept until then, and
-// to the end where no other takes the call.
+// Tries to replace a silent endpoint by another one. A silent endpoint may still be working, for example on a long
+// prompt or on calls taken over from other endpoints, and dropping it early could lose an answer that is on its way.
+// Its connection is therefore kept until another endpoint has taken the call, or to the deadline if none does.
 net::awaitable<bool> Call::findSuccessor()
 {
     m_services.gate.noteSilent(m_attempt.placement.id);
-    m_further = askForAnother(AttemptEnd::Silent);
-    bool isTakenOver = m_further == FurtherAttempt::Granted;
-    if (isTakenOver) {
-        isTakenOver = co_await startSuccessor();
+    m_furtherAttempt = checkFurtherAttempt(AttemptEnd::Silent);
+    bool isReplaced = m_furtherAttempt == FurtherAttempt::Granted;
+    if (isReplaced) {
+        isReplaced = co_await startSuccessor();
     }
-    if (isTakenOver) {
-        isTakenOver = co_await isSuccessorAtWork();
+    if (isReplaced) {
+        isReplaced = co_await awaitSuccessorAnswer();
     }
-    if (isTakenOver) {
+    if (isReplaced) {
         co_return true;
     }
-    if (m_further != FurtherAttempt::Granted && !std::exchange(m_attempt.isSilenceLogged, true)) {
-        kLog.info("endpoint silent",
+    if (m_furtherAttempt != FurtherAttempt::Granted && !std::exchange(m_attempt.isSilenceLogged, true)) {
+        kLog.info("endpoint silent and no further attempt possible, still waiting for it",
                   {field("call", m_request.id.value()), field("endpoint", m_attempt.placement.endpoint.value()),
-                   field("events", m_cutter.count()), field("silent_for", silentFor(m_attempt)),
-                   field("further_attempt", furtherAttemptName(*m_further)), field("time_left", timeLeft())});
+                   field("events", m_eventCutter.count()), field("silent_for", silenceDuration(m_attempt)),
+                   field("further_attempt", furtherAttemptName(*m_furtherAttempt)), field("time_left", timeLeft())});
     }
     co_return false;
 }
@@ -61,50 +61,53 @@
 {
     const absl::StatusOr<Placement> placement = co_await place();
     if (!placement.ok()) {
-        m_further = FurtherAttempt::NoEndpoint;
-        giveRetryBack();
+        m_furtherAttempt = FurtherAttempt::NoEndpoint;
+        returnRetry();
         co_return false;
     }
     m_successor.emplace().placement = *placement;
     m_successor->failure = co_await connect(*m_successor);
     if (!m_successor->failure.ok()) {
         dropSuccessor(endUnsent(*m_successor));
-        giveRetryBack();
+        returnRetry();
         co_return false;
     }
-    if (m_isCallerGone || m_attempt.connection->hasUnread()) {
-        keepFirst();
+    if (m_isCallerDisconnected || m_attempt.connection->hasUnread()) {
+        cancelSuccessor();
         co_return false;
     }
     send(*m_successor);
     co_return true;
 }
 
-// The first has answered, or its caller has left, while the second was being connected to. For how long the second's
-// connection was idle is not known any more, so that no other call could rely on it.
-void Call::keepFirst()
+// The first endpoint has answered, or the caller has disconnected, while the connection to the second endpoint was
+// being established. That connection is closed, because its idle time is no longer known and no other call could rely
+// on it.
+void Call::cancelSuccessor()
 {
     m_successor->connection->close();
     m_services.gate.noteEnded(m_successor->placement.id, RunEnd::Cancelled);
-    giveRetryBack();
+    returnRetry();
     m_successor.reset();
 }
 
-// An endpoint that hangs takes a call like one that is at work, so that only an answer tells. Until there is one the
-// first is looked at in between; its answer, should it come sooner, is the one to have.
-net::awaitable<bool> Call::isSuccessorAtWork()
+// Returns true if the second endpoint is to replace the first. A hanging endpoint accepts a call like a working one, so
+// that only an answer shows the difference. Until the second endpoint answers, the gateway also checks the first at
+// intervals; if the first answers sooner, its answer is used. If neither answers within the overlap, the second
+// endpoint replaces the first.
+net::awaitable<bool> Call::awaitSuccessorAnswer()
 {
-    const Instant end = m_services.timers.now() + longestOverlap();
-    absl::StatusOr<AnswerHead> head = co_await glanceAtSuccessor(end);
-    while (!head.ok() && isPaused(*m_successor, head.status())) {
+    const Instant end = m_services.timers.now() + overlapTimeout();
+    absl::StatusOr<AnswerHead> head = co_await pollSuccessor(end);
+    while (!head.ok() && isSilentButOpen(*m_successor, head.status())) {
         if (m_attempt.connection->hasUnread()) {
-            dropUnheardSuccessor();
+            dropUnansweredSuccessor();
             co_return false;
         }
         if (m_services.timers.now() >= end) {
             co_return true;
         }
-        head = co_await glanceAtSuccessor(end);
+        head = co_await pollSuccessor(end);
     }
     if (!head.ok()) {
         dropSuccessor(endUnanswered(*m_successor, head.status()));
@@ -124,34 +127,35 @@
     co_return true;
 }
 
-// A stream begins with its head: until then only one endpoint has begun to answer. Where an answer comes whole, both
-// may work on it all the while.
-Duration Call::longestOverlap() const
+// How long both endpoints may run the call. A stream starts with its head, so the second endpoint shows early that it
+// has started. For an unstreamed answer both endpoints could work on it in parallel all the time, which is bounded.
+Duration Call::overlapTimeout() const
 {
-    return m_route->isStreamed ? rest() : within(m_services.times.overlap);
+    return m_route->isStreamed ? remainingWait() : limitToTimeLeft(m_services.times.maximumOverlap);
 }
 
-net::awaitable<absl::StatusOr<AnswerHead>> Call::glanceAtSuccessor(Instant end)
+net::awaitable<absl::StatusOr<AnswerHead>> Call::pollSuccessor(Instant end)
 {
-    if (silentFor(*m_successor) > m_services.times.eventSilence) {
+    if (silenceDuration(*m_successor) > m_services.times.eventSilenceTimeout) {
         m_services.gate.noteSilent(m_successor->placement.id);
     }
-    const Duration left = std::max(end - m_services.timers.now(), m_services.times.glance);
-    m_successor->connection->expireAfter(within(m_services.times.glance), AtExpiry::Pause, within(left));
+    const Duration left = std::max(end - m_services.timers.now(), m_services.times.successorPollInterval);
+    m_successor->connection->expireAfter(limitToTimeLeft(m_services.times.successorPollInterval), AtExpiry::Pause,
+                                         limitToTimeLeft(left));
     co_return co_await readHead(*m_successor);
 }
 
-void Call::dropUnheardSuccessor()
+void Call::dropUnansweredSuccessor()
 {
     m_history.mayHaveRun = true;
-    // It had little time to answer, which is no failure of its endpoint.
+    // The second endpoint had little time to answer, so this does not count as its failure.
     m_services.gate.noteEnded(m_successor->placement.id, RunEnd::Cancelled);
     dropSuccessor(AttemptEnd::Silent);
 }
 
 void Call::dropSuccessor(AttemptEnd end)
 {
-    m_further = FurtherAttempt::NoEndpoint;
+    m_furtherAttempt = FurtherAttempt::NoEndpoint;
     finish(*m_successor, end);
     m_successor.reset();
 }
--- a/src/gateway/configurationlistener.cpp
+++ b/src/gateway/configurationlistener.cpp
@@ -14,9 +14,9 @@
 
 }
 
-ConfigurationListener::ConfigurationListener(const ServingCatalogue &catalogue, Callback onNewer)
+ConfigurationListener::ConfigurationListener(const ServingCatalogue &catalogue, Callback onUpdated)
     : m_catalogue(catalogue)
-    , m_onNewer(std::move(onNewer))
+    , m_onUpdated(std::move(onUpdated))
 {
 }
 
@@ -27,7 +27,7 @@
 
 void ConfigurationListener::objectsChanged(const std::vector<StoredObject> &objects)
 {
-    // When several versions come at once, only the last is read: reading one takes milliseconds on a small instance.
+    // If several versions arrive at once, only the newest is parsed, since this takes milliseconds on a small instance.
     const StoredObject *newest = nullptr;
     for (const StoredObject &object : objects) {
         if (m_catalogue.isConfiguration(object) && (!newest || object.version >= newest->version)) {
@@ -39,7 +39,7 @@
     }
     absl::StatusOr<ServingConfiguration> configuration = m_catalogue.readConfiguration(*newest);
     if (!configuration.ok()) {
-        kLog.error("unreadable, the last good one stays in force",
+        kLog.error("configuration unreadable, the previous one stays in force",
                    {field("revision", newest->version), field("error", std::string(configuration.status().message()))});
         return;
     }
@@ -55,7 +55,7 @@
                field("routes", configuration->routes.size()), field("keys", keys),
                field("bytes", newest->value.size())});
     m_table = std::make_shared<const ServingTable>(std::move(*configuration));
-    m_onNewer(m_table);
+    m_onUpdated(m_table);
 }
 
 }
--- a/src/gateway/endpointconnections.cpp
+++ b/src/gateway/endpointconnections.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-EndpointConnections::ConnectionPointer EndpointConnections::takeIdle(const EndpointId &endpoint, Duration longestIdle)
+EndpointConnections::ConnectionPointer EndpointConnections::takeIdle(const EndpointId &endpoint, Duration maximumIdle)
 {
     const auto it = m_idle.find(endpoint);
     if (it == m_idle.end()) {
@@ -20,9 +20,9 @@
     const Clock::time_point now = Clock::now();
     std::vector<Idle> &idle = it->second;
     while (!idle.empty()) {
-        // The one that was used last is the least likely to have been dropped by the endpoint meanwhile.
+        // The most recently used connection is the least likely to have been closed by the endpoint.
         const Idle last = idle.back();
-        if (now - last.since > longestIdle) {
+        if (now - last.since > maximumIdle) {
             return nullptr;
         }
         idle.pop_back();
@@ -39,8 +39,8 @@
     return std::make_shared<HttpConnection>(m_workers, address, m_settings.silenceLimits);
 }
 
-void EndpointConnections::giveBack(const EndpointId &endpoint, const ConnectionPointer &connection,
-                                   std::optional<Duration> idleTimeout)
+void EndpointConnections::release(const EndpointId &endpoint, const ConnectionPointer &connection,
+                                  std::optional<Duration> idleTimeout)
 {
     const Duration kept = idleTimeout ? *idleTimeout - m_settings.idleMargin : m_settings.idleTimeout;
     if (kept <= Duration::zero() || connection->isSending() || !connection->isKeptAlive()) {
@@ -52,7 +52,7 @@
     m_idle[endpoint].push_back({connection, now, now + kept});
 }
 
-void EndpointConnections::forget(const EndpointId &endpoint)
+void EndpointConnections::closeIdle(const EndpointId &endpoint)
 {
     const auto it = m_idle.find(endpoint);
     if (it == m_idle.end()) {
--- a/src/gateway/endpointlistener.cpp
+++ b/src/gateway/endpointlistener.cpp
@@ -12,11 +12,11 @@
 
 const Log kLog("endpoints");
 
-/// Entries that can't be read and were told of, at most.
-constexpr std::size_t kMostTold = 1000;
+/// Maximum number of unreadable entries that are logged; bounds the memory for their keys.
+constexpr std::size_t kMaximumLoggedEntries = 1000;
 
-/// Longest time for which an endpoint that says so is taken for cold.
-constexpr Duration kLongestCold = std::chrono::seconds(60);
+/// Maximum time for which an endpoint is treated as cold, whatever its entry states.
+constexpr Duration kMaximumColdTime = std::chrono::seconds(60);
 
 }
 
@@ -37,9 +37,9 @@
             listings.push_back(std::move(*listing));
         }
     }
-    kLog.info("listed", {field("endpoints", listings.size())});
+    kLog.info("endpoints listed", {field("endpoints", listings.size())});
     for (const EndpointId &endpoint : m_gate.registry().replaceAll(listings, m_timers.now())) {
-        noteReborn(endpoint);
+        handleRestart(endpoint);
     }
     m_gate.noteRegistryChanged();
 }
@@ -56,26 +56,27 @@
 {
     const EndpointId endpoint = m_catalogue.endpointOf(object.key);
     if (object.version == 0) {
-        kLog.info("gone from the list", {field("endpoint", endpoint.value())});
+        kLog.info("endpoint removed from the list", {field("endpoint", endpoint.value())});
         return unlist(endpoint);
     }
-    // An entry that another process has overwritten names no endpoint to use, until the endpoint writes it again.
+    // An unreadable entry, for example one overwritten by another process, removes the endpoint until it writes the
+    // entry again.
     const std::optional<EndpointListing> listing = read(object);
-    listing ? take(*listing, object.version) : unlist(endpoint);
+    listing ? applyListing(*listing, object.version) : unlist(endpoint);
 }
 
-void EndpointListener::take(const EndpointListing &listing, std::uint64_t revision)
+void EndpointListener::applyListing(const EndpointListing &listing, std::uint64_t revision)
 {
-    const ListingOutcome news = m_gate.registry().list(listing, m_timers.now());
-    if (news == ListingOutcome::Outdated) {
-        kLog.info("news of an earlier life ignored",
+    const ListingOutcome outcome = m_gate.registry().list(listing, m_timers.now());
+    if (outcome == ListingOutcome::Outdated) {
+        kLog.info("entry of an earlier incarnation ignored",
                   {field("endpoint", listing.id.value()), field("born_at_ms", listing.startedAtMilliseconds)});
         return;
     }
-    if (news == ListingOutcome::Restarted) {
-        noteReborn(listing.id);
+    if (outcome == ListingOutcome::Restarted) {
+        handleRestart(listing.id);
     }
-    kLog.info(listing.isLeaving ? "leaving" : "listed",
+    kLog.info(listing.isLeaving ? "endpoint leaving" : "endpoint listed",
               {field("endpoint", listing.id.value()), field("pool", listing.pool.value()),
                field("address", listing.address), field("born_at_ms", listing.startedAtMilliseconds),
                field("cold_for", listing.coldFor), field("revision", revision)});
@@ -84,8 +85,8 @@
     }
 }
 
-// Connections to the earlier life lead nowhere, or to a process that knows nothing of them.
-void EndpointListener::noteReborn(const EndpointId &endpoint)
+// Idle connections to the earlier incarnation are unusable and have to be closed.
+void EndpointListener::handleRestart(const EndpointId &endpoint)
 {
     kLog.info("started again", {field("endpoint", endpoint.value())});
     m_onUnlisted(endpoint);
@@ -97,13 +98,13 @@
     m_onUnlisted(endpoint);
 }
 
-// An endpoint that says it is cold for an hour would hardly be used for as long.
-void EndpointListener::boundColdSpan(EndpointListing &listing)
+// Without the bound, an endpoint that states a cold time of an hour would hardly receive calls during that hour.
+void EndpointListener::limitColdTime(EndpointListing &listing)
 {
-    if (listing.coldFor > kLongestCold) {
-        kLog.error("impossible cold time, bounded",
+    if (listing.coldFor > kMaximumColdTime) {
+        kLog.error("cold time exceeds the maximum and is reduced to it",
                    {field("endpoint", listing.id.value()), field("cold_for", listing.coldFor)});
-        listing.coldFor = kLongestCold;
+        listing.coldFor = kMaximumColdTime;
     }
 }
 
@@ -111,13 +112,13 @@
 {
     absl::StatusOr<EndpointListing> listing = m_catalogue.readEndpoint(object);
     if (listing.ok()) {
-        m_unreadable.erase(object.key);
-        boundColdSpan(*listing);
+        m_loggedUnreadable.erase(object.key);
+        limitColdTime(*listing);
         return std::move(*listing);
     }
-    // Whoever writes such entries may do so with each heartbeat: one line for each is enough.
-    if (m_unreadable.size() < kMostTold && m_unreadable.insert(object.key).second) {
-        kLog.error("an entry can't be read",
+    // The writer of an unreadable entry may write it again with each heartbeat, so each key is logged only once.
+    if (m_loggedUnreadable.size() < kMaximumLoggedEntries && m_loggedUnreadable.insert(object.key).second) {
+        kLog.error("unreadable endpoint entry ignored",
                    {field("error", std::string(listing.status().message())), field("revision", object.version)});
     }
     return std::nullopt;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -17,12 +17,12 @@
 
 const Log kLog("process");
 
-constexpr Duration kUpkeepInterval = std::chrono::seconds(2);
-/// Processes that start for the first time have announced themselves within this.
-constexpr Duration kFirstAnnouncements = std::chrono::seconds(1);
-/// Longer than any call lasts.
+constexpr Duration kMaintenanceInterval = std::chrono::seconds(2);
+/// On the fleet's first start all processes have announced themselves within this time.
+constexpr Duration kFirstAnnouncementDelay = std::chrono::seconds(1);
+/// A reservation at another home expires after this time, which is longer than any call.
 constexpr Duration kReservationExpiry = std::chrono::seconds(20);
-/// Kept back from the drain timeout: portions are given back, and the process ends, before it would be killed.
+/// Subtracted from the drain timeout, so that portions are returned and the process ends before it would be killed.
 constexpr Duration kStopReserve = std::chrono::milliseconds(400);
 
 }
@@ -39,7 +39,7 @@
     , m_homes(m_settings.instance)
     , m_ownBudgets(m_ledger, m_holder, m_timers,
                    [this] {
-                       return isStoreLost();
+                       return isStoreUnreachable();
                    })
     , m_clients(m_workers, transportSettings(m_settings))
     , m_budgetPeers(m_clients, m_homes, m_timers, kReservationExpiry)
@@ -58,9 +58,9 @@
     , m_callMetrics(m_metrics)
     , m_link(shedderSettings(m_settings))
     , m_poison(m_workers, m_store, m_connections, m_timers, m_random, m_settings.instance,
-               [this](const EndpointIncarnation &life) {
-                   m_gate.noteCrashed(life.endpoint);
-                   m_connections.forget(life.endpoint);
+               [this](const EndpointIncarnation &incarnation) {
+                   m_gate.noteCrashed(incarnation.endpoint);
+                   m_connections.closeIdle(incarnation.endpoint);
                })
     , m_limits(m_store, m_timers, m_random, m_gate)
     , m_services{*m_adapter.protocol,
@@ -84,11 +84,11 @@
                })
     , m_configuration(*m_adapter.catalogue,
                       [this](const ServingTablePointer &table) {
-                          handleNewer(table);
+                          applyConfiguration(table);
                       })
     , m_endpoints(*m_adapter.catalogue, m_gate, m_timers,
                   [this](const EndpointId &endpoint) {
-                      m_connections.forget(endpoint);
+                      m_connections.closeIdle(endpoint);
                   })
     , m_cordons(*m_adapter.catalogue, m_gate)
     , m_configurationFollower(m_relayedStore, m_timers, m_random, m_adapter.catalogue->configurationPrefix(),
@@ -97,7 +97,7 @@
                          followerSettings(m_settings))
     , m_cordonFollower(m_relayedStore, m_timers, m_random, m_adapter.catalogue->cordonPrefix(), m_cordons,
                        followerSettings(m_settings))
-    , m_newsFollower(m_relayedStore, m_timers, m_random, kNewsPrefix, m_news, newsFollowerSettings())
+    , m_reportFollower(m_relayedStore, m_timers, m_random, kReportPrefix, m_reportRouter, reportFollowerSettings())
     , m_peerServer(m_workers, transportSettings(m_settings))
     , m_server(m_workers, callerServerSettings(m_intake),
                [this](HttpExchange &exchange) {
@@ -138,58 +138,58 @@
         return status;
     }
     m_workers.post([this] {
-        begin();
+        startOnWorker();
     });
     m_workers.start();
     return absl::OkStatus();
 }
 
-void Gateway::begin()
+void Gateway::startOnWorker()
 {
-    m_homes.setOwn(peerOf(m_settings, PeerKind::Gateway));
+    m_homes.setOwnPeer(peerOf(m_settings, PeerKind::Gateway));
     if (m_settings.watchesAlone) {
         m_homes.watchAlone();
     }
-    m_timers.after(m_settings.longestHold, [this] {
+    m_timers.after(m_settings.maximumAcceptDelay, [this] {
         m_server.startAccepting();
     });
     m_metrics.beforeCollection([this] {
-        countGauges();
+        updateGauges();
     });
-    m_relayedStore.setDetourCallback([](bool isDetour) {
-        kLog.warning(isDetour ? "store read through a home" : "store read directly again", {});
+    m_relayedStore.setReadPathCallback([](bool isDetour) {
+        kLog.warning(isDetour ? "store unreachable, reading it through a home" : "store read directly again", {});
     });
     follow(m_configurationFollower, m_adapter.catalogue->configurationPrefix());
     follow(m_endpointFollower, m_adapter.catalogue->endpointPrefix());
     if (followsCordons()) {
         follow(m_cordonFollower, m_adapter.catalogue->cordonPrefix());
     }
-    m_news.add(kCrashKeys, m_poison.reports());
-    m_news.add(kLimitKeys, m_limits);
-    follow(m_newsFollower, kNewsPrefix);
+    m_reportRouter.add(kCrashPrefix, m_poison.reports());
+    m_reportRouter.add(kLimitPrefix, m_limits);
+    follow(m_reportFollower, kReportPrefix);
     m_announcement.start(m_settings.isFirstStart);
     followPeers();
-    m_timers.every(kUpkeepInterval, [this] {
-        keepUp();
+    m_timers.every(kMaintenanceInterval, [this] {
+        runMaintenance();
     });
 }
 
-// On the fleet's first start all announce themselves at once. One that listed the others sooner would know few of them,
-// and watch the store itself.
+// On the fleet's first start all processes announce themselves at once. A gateway that listed its peers earlier would
+// find few of them, and would watch the store itself instead of through a peer.
 void Gateway::followPeers()
 {
-    m_timers.after(m_settings.isFirstStart ? kFirstAnnouncements : Duration::zero(), [this] {
+    m_timers.after(m_settings.isFirstStart ? kFirstAnnouncementDelay : Duration::zero(), [this] {
         follow(m_peerRegistry.follower(), kPeersPrefix);
     });
 }
 
-// Where no zone is ever closed the watch would only cost.
+// On a platform without cordons the watch would only cost calls to the store.
 bool Gateway::followsCordons() const
 {
     return m_settings.cordonBound > Duration::zero();
 }
 
-// One that does not know the orders yet would send calls into a zone that is closed.
+// A gateway that does not know the cordons yet would send calls into a closed zone.
 bool Gateway::isServing() const
 {
     const bool knowsCordons = !followsCordons() || m_gate.registry().cordons().isKnown();
@@ -207,28 +207,28 @@
     updateReady();
 }
 
-bool Gateway::isStoreLost() const
+bool Gateway::isStoreUnreachable() const
 {
-    return !m_configurationFollower.isReached() || m_relayedStore.isDetour();
+    return !m_configurationFollower.isStoreReachable() || m_relayedStore.isReadingThroughHome();
 }
 
-void Gateway::keepUp()
+void Gateway::runMaintenance()
 {
     m_connections.closeExpired();
-    m_poison.reports().removeOld();
-    m_limits.removeOld();
+    m_poison.reports().removeExpired();
+    m_limits.removeExpired();
     m_gate.noteRegistryChanged();
-    logLeftOut();
+    logDroppedLines();
     updateReady();
     if (Log::isEnabled(LogLevel::Debug)) {
         logPortions();
     }
 }
 
-void Gateway::logLeftOut()
+void Gateway::logDroppedLines()
 {
-    if (const int n = m_failureSampler.takeLeftOut(); n > 0) {
-        kLog.warning("lines of failures left out", {field("lines", n)});
+    if (const int n = m_failureSampler.takeDroppedCount(); n > 0) {
+        kLog.warning("log lines about failed calls dropped", {field("lines", n)});
     }
 }
 
@@ -246,8 +246,8 @@
 {
     WatchLog &log = m_watchPeers.log(prefix);
     follower.setProgressCallback([this, &log](const ObjectFollower::Progress &progress) {
-        if (!progress.isReached) {
-            log.noteLost();
+        if (!progress.isStoreReachable) {
+            log.noteStoreLost();
         } else if (progress.wasListed) {
             log.noteListed(progress.changes);
             updateReady();
@@ -255,7 +255,7 @@
             log.noteChanges(progress.changes);
         }
     });
-    follower.setContactCallback([this, prefix](bool isReached) {
+    follower.setReachabilityCallback([this, prefix](bool isReached) {
         if (isReached) {
             m_homes.forgetFailures();
             m_gate.registry().noteStoreBack(m_timers.now());
@@ -265,7 +265,7 @@
     follower.start();
 }
 
-void Gateway::handleNewer(const ServingTablePointer &table)
+void Gateway::applyConfiguration(const ServingTablePointer &table)
 {
     const CallerLimits &limits = table->configuration().limits;
     HttpServerLimits serverLimits;
@@ -288,8 +288,8 @@
 
 boost::asio::awaitable<void> Gateway::serve(HttpExchange &exchange)
 {
-    // All gateways start at once after a loss of power. One that does not know the others yet would take portions of
-    // every budget, all at once with them: 1,600 calls to the store within six seconds, measured.
+    // After a power loss all gateways start at once. Gateways that do not know their peers yet would all take portions
+    // of every budget at the same time, which takes 1,600 calls to the store within six seconds.
     Call call(m_services, exchange, isServing() ? m_configuration.table() : nullptr);
     co_await call.run();
 }
@@ -302,9 +302,9 @@
         m_onDrained = std::move(callback);
         updateReady();
         m_server.closeAfterAnswers();
-        leaveBudgets();
+        releaseBudgets();
         m_timers.after(m_settings.drainNotice, [this] {
-            stopTaking();
+            stopAccepting();
         });
         m_timers.after(m_settings.drainTimeout - kStopReserve, [this] {
             finishStop();
@@ -312,24 +312,26 @@
     });
 }
 
-// Portions go back at once and not when the last call has ended: seconds later this gateway may be cut off, and what it
-// holds then is lost to its budgets. Calls that still come are reserved for at the next homes.
-void Gateway::leaveBudgets()
+// Returns portions at the start of the drain instead of after the last call. Seconds later the gateway may be cut off
+// from the store, and the portions that it holds would be lost to their budgets. Calls that still arrive reserve their
+// tokens at the next homes.
+void Gateway::releaseBudgets()
 {
     m_homes.leave();
-    if (isStoreLost()) {
+    if (isStoreUnreachable()) {
         handOverPortions();
     }
     m_holder.stop([this] {
         m_arePortionsReturned = true;
         if (m_isStopComplete) {
-            end();
+            completeDrain();
         }
     });
 }
 
-// A stream from before the order may keep its connection open, and bring the next call on it, until the stop's end.
-void Gateway::stopTaking()
+// A stream that started before the drain may keep its connection open, and the next call may arrive on that connection
+// at any time until the end of the drain. The intake refuses such calls.
+void Gateway::stopAccepting()
 {
     m_intake.stop();
     m_server.drain([this] {
@@ -342,19 +344,19 @@
     if (std::exchange(m_isStopComplete, true)) {
         return;
     }
-    if (isStoreLost()) {
+    if (isStoreUnreachable()) {
         handOverPortions();
     }
     if (m_arePortionsReturned) {
-        return end();
+        return completeDrain();
     }
-    // The store's answer is not waited for beyond the reserve.
+    // The gateway waits for the answer of the store for at most half of the reserve.
     m_timers.after(kStopReserve / 2, [this] {
-        end();
+        completeDrain();
     });
 }
 
-void Gateway::end()
+void Gateway::completeDrain()
 {
     if (const auto callback = std::exchange(m_onDrained, nullptr)) {
         kLog.info("stopped", {field("portions_returned", m_arePortionsReturned)});
@@ -362,14 +364,14 @@
     }
 }
 
-// A portion that ends with a process that does not reach the store is lost to its budget for good. Others of the fleet
-// can still be reached, and one of them will reach the store later. Two are told, in case one of them stops as well;
-// the portion goes back once.
+// Hands the portions to peers while the store is unreachable. A portion held by a process that ends without reaching
+// the store is lost to its budget for good, whereas a reachable peer can return it later. Two peers are told, in case
+// one of them stops as well; the portion is returned only once.
 void Gateway::handOverPortions()
 {
-    constexpr std::size_t kTold = 2;
+    constexpr std::size_t kRecipients = 2;
     std::vector<std::string> peers = m_homes.reachablePeers(m_timers.now());
-    peers.resize(std::min(peers.size(), kTold));
+    peers.resize(std::min(peers.size(), kRecipients));
     for (const HeldBudgetStatus &status : m_holder.statuses()) {
         for (const HeldBudgetStatus::Portion &portion : status.portions) {
             for (const std::string &peer : peers) {
@@ -389,11 +391,11 @@
     return m_admin.port();
 }
 
-void Gateway::countGauges()
+void Gateway::updateGauges()
 {
     countBudgets(m_holder, m_metrics);
     m_metrics.gauge("radishswitch_store_reached", "Whether the store answered last")
-        .set(m_configurationFollower.isReached() ? 1 : 0);
+        .set(m_configurationFollower.isStoreReachable() ? 1 : 0);
     m_metrics.gauge("radishswitch_calls_placed", "Calls under way at endpoints")
         .set(static_cast<double>(m_gate.placed()));
     m_metrics.gauge("radishswitch_calls_waiting", "Calls that wait for an endpoint")
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -14,13 +14,13 @@
 #include "gatewayadapter.h"
 #include "gatewaysettings.h"
 #include "httpserver.h"
-#include "limitnews.h"
+#include "limitreports.h"
 #include "limits/linkshedder.h"
-#include "newslistener.h"
 #include "peerannouncement.h"
 #include "peerregistry.h"
 #include "poisonguard.h"
 #include "prepaidbudgets.h"
+#include "reportrouter.h"
 #include "serving/objectfollower.h"
 #include "serving/probedstore.h"
 #include "serving/relayedstore.h"
@@ -33,21 +33,22 @@
 namespace RadishSwitch
 {
 
-/// One gateway process: takes callers' calls and sends them straight to endpoints.
+/// A gateway process, which accepts calls from callers and sends them directly to endpoints.
 ///
-/// Everything runs on one worker. A gateway has a fraction of one core, and each decision takes microseconds: locks
-/// would cost more than they could win.
+/// Everything runs on one worker. A gateway has a fraction of a core and each decision takes microseconds, so that more
+/// threads and their locks would cost more than they gain.
 class Gateway
 {
 public:
     explicit Gateway(GatewaySettings settings);
     ~Gateway();
 
-    /// Opens all doors. The errors of listening.
+    /// Opens all listening sockets and starts the worker. Returns the error of the first socket that fails.
     absl::Status start();
 
-    /// Planned stop: not ready at once, taking calls until the balancer has noticed, then everything in progress
-    /// finished and the portions of budgets given back. Calls back when all is done, or the drain timeout has passed.
+    /// Planned stop. The gateway reports that it is not ready at once, accepts calls until the load balancer has had
+    /// time to notice, then finishes the calls in progress and returns its portions of budgets. Calls back when all
+    /// this is done, or when the drain timeout is nearly over.
     void drain(std::function<void()> callback);
 
     WorkerPool &workers()
@@ -59,27 +60,27 @@
     std::uint16_t adminPort() const;
 
 private:
-    void begin();
-    /// Whether the store itself does not answer this gateway.
-    bool isStoreLost() const;
+    void startOnWorker();
+    /// Whether the store does not answer this gateway directly; a home may still relay it.
+    bool isStoreUnreachable() const;
     bool followsCordons() const;
-    /// Whether it knows all that calls are served by.
+    /// Whether the gateway knows everything needed to serve calls: configuration, endpoints, peers and cordons.
     bool isServing() const;
     void handlePeers(const std::map<std::string, FleetPeer> &peers);
-    void keepUp();
+    void runMaintenance();
     void logPortions() const;
-    void logLeftOut();
-    void handleNewer(const ServingTablePointer &table);
+    void logDroppedLines();
+    void applyConfiguration(const ServingTablePointer &table);
     void followPeers();
     void follow(ObjectFollower &follower, const std::string &prefix);
     void updateReady();
     boost::asio::awaitable<void> serve(HttpExchange &exchange);
-    void stopTaking();
-    void leaveBudgets();
+    void stopAccepting();
+    void releaseBudgets();
     void finishStop();
-    void end();
+    void completeDrain();
     void handOverPortions();
-    void countGauges();
+    void updateGauges();
 
     const GatewaySettings m_settings;
     WorkerPool m_workers;
@@ -109,25 +110,25 @@
     LogSampler m_failureSampler;
     LinkShedder m_link;
     PoisonGuard m_poison;
-    LimitNews m_limits;
+    LimitReports m_limits;
     CallServices m_services;
     CallIntake m_intake;
     ConfigurationListener m_configuration;
     EndpointListener m_endpoints;
     CordonListener m_cordons;
-    NewsListener m_news;
+    ReportRouter m_reportRouter;
     ObjectFollower m_configurationFollower;
     ObjectFollower m_endpointFollower;
     ObjectFollower m_cordonFollower;
-    ObjectFollower m_newsFollower;
+    ObjectFollower m_reportFollower;
     Http2MessageServer m_peerServer;
     HttpServer m_server;
     AdminServer m_admin;
-    /// The same on an address of its own, where one is set.
+    /// The same pages on a separate address, if one is set.
     AdminServer m_metricsServer;
     std::function<void()> m_onDrained;
     bool m_isStopping = false;
-    /// All calls have ended, or are waited for no longer.
+    /// All calls have ended, or the drain timeout is nearly over.
     bool m_isStopComplete = false;
     bool m_arePortionsReturned = false;
 };
--- a/src/libradishswitch/base/boundedcall.h
+++ b/src/libradishswitch/base/callbackwithtimeout.h
@@ -13,11 +13,11 @@
 namespace RadishSwitch
 {
 
-/// A callback for a call of the store that is called once: with the answer, or with StoreTimeout once `deadline` has
-/// passed without one. An answer that comes later is dropped.
+/// Wraps the callback of a call to the object store. The callback is called once: with the answer, or with StoreTimeout
+/// when no answer arrived before `deadline`. A later answer is dropped.
 template<typename T>
-std::function<void(absl::StatusOr<T>)> boundedCall(TimerService &timers, Duration deadline,
-                                                   std::function<void(absl::StatusOr<T>)> callback)
+std::function<void(absl::StatusOr<T>)> callbackWithTimeout(TimerService &timers, Duration deadline,
+                                                           std::function<void(absl::StatusOr<T>)> callback)
 {
     const auto isOver = std::make_shared<std::atomic<bool>>(false);
     const auto once = [isOver, callback = std::move(callback)](const absl::StatusOr<T> &answer) {
@@ -26,7 +26,7 @@
         }
     };
     const TimerId timer = timers.after(deadline, [once] {
-        once(makeFailure(FailureCode::StoreTimeout, "the store did not answer"));
+        once(makeFailure(FailureCode::StoreTimeout, "the object store did not answer before the deadline of the call"));
     });
     return [once, timer, &timers](absl::StatusOr<T> answer) {
         timers.cancel(timer);
--- a/src/libradishswitch/budgets/budgetholder.cpp
+++ b/src/libradishswitch/budgets/budgetholder.cpp
@@ -16,9 +16,9 @@
     , m_random(random)
     , m_settings(std::move(settings))
 {
-    m_ledger.setAwayCallback([this](std::uint32_t shard, bool isAway) {
-        if (isAway) {
-            handleAway(shard);
+    m_ledger.setStoreStateCallback([this](std::uint32_t shard, bool isUnavailable) {
+        if (isUnavailable) {
+            handleStoreUnavailable(shard);
         }
     });
     m_ledger.setRoundCallback([this](std::uint32_t shard) {
@@ -31,7 +31,7 @@
 
 BudgetHolder::~BudgetHolder()
 {
-    m_ledger.setAwayCallback(nullptr);
+    m_ledger.setStoreStateCallback(nullptr);
     m_ledger.setRoundCallback(nullptr);
     m_timers.cancel(m_wheelTimer);
     for (Entry *entry : m_withWaiting) {
@@ -49,7 +49,8 @@
 void BudgetHolder::reserve(const ReservationRequest &request, ReservationCallback callback)
 {
     if (request.tokens < 1) {
-        return answer(std::move(callback), makeFailure(FailureCode::InvalidRequest, "a reservation has tokens"));
+        return answer(std::move(callback),
+                      makeFailure(FailureCode::InvalidRequest, "a reservation needs at least 1 token"));
     }
     if (const auto it = m_open.find(request.request); it != m_open.end()) {
         const HeldPortion *portion = it->second.entry->second.find(it->second.portion);
@@ -63,12 +64,12 @@
     HeldBudget &budget = entry.second;
     budget.noteReserved(request.tokens, m_timers.now());
     budget.isStandIn = request.isStandIn;
-    noteWhetherAway(budget);
+    noteStoreState(budget);
     if (budget.hasWaiting() || !isGrantable(budget, request)) {
         return wait(entry, request, std::move(callback));
     }
     answer(std::move(callback), grant(entry, request.request, request.tokens));
-    askIfLow(entry);
+    takeIfLow(entry);
 }
 
 absl::Status BudgetHolder::settle(const RequestId &request, std::int64_t chargedTokens)
@@ -81,7 +82,7 @@
     m_open.erase(it);
     if (chargedTokens < 0 || chargedTokens > open.tokens) {
         close(open, open.tokens);
-        return makeFailure(FailureCode::InvalidRequest, "charged outside of what was reserved");
+        return makeFailure(FailureCode::InvalidRequest, "the charge is negative or exceeds the reservation");
     }
     close(open, chargedTokens);
     return absl::OkStatus();
@@ -110,7 +111,7 @@
     entry.second.openReservations -= 1;
     HeldPortion *portion = entry.second.find(open.portion);
     if (!portion) {
-        // Lost to a closer, which withholds by itself what the agents cannot prove.
+        // A closer has taken the portion over; it withholds the tokens that the agents cannot prove.
         return;
     }
     portion->reserved -= open.tokens;
@@ -124,8 +125,8 @@
 void BudgetHolder::replacePortions()
 {
     m_replaceTakenBefore = m_timers.now();
-    // A new agent gets no run on a portion before the ledger has confirmed it anew; when all agents of a pool restart,
-    // nothing could run until the next checkpoint.
+    // No run may be sent to a new agent before the ledger has confirmed the portion again. When all agents of a pool
+    // restart, no request could run until the next checkpoint without this report.
     for (Entry &entry : m_budgets) {
         const HeldPortion current = entry.second.current();
         if (current.number != 0 && m_timers.now() - entry.second.lastUsedAt() < m_settings.idleTime) {
@@ -153,8 +154,8 @@
     }
     for (Entry &entry : m_budgets) {
         HeldBudget &budget = entry.second;
-        if (!budget.isAsking && budget.current().number != 0) {
-            retire(entry, budget.replaceCurrent({}));
+        if (!budget.isTakePending && budget.current().number != 0) {
+            retirePortion(entry, budget.replaceCurrent({}));
         }
     }
     checkStopped();
@@ -182,7 +183,7 @@
     status.available = held.current().available();
     status.waiting = held.waitingCount();
     status.tokensPerSecond = held.tokensPerSecond(m_timers.now(), m_settings);
-    status.isStoreAway = m_ledger.isStoreAway(held.shard());
+    status.isStoreUnavailable = m_ledger.isStoreUnavailable(held.shard());
     return status;
 }
 
@@ -240,9 +241,9 @@
 void BudgetHolder::wait(Entry &entry, const ReservationRequest &request, ReservationCallback callback)
 {
     if (entry.second.waitingCount() >= m_settings.maximumWaiting) {
-        return answer(
-            std::move(callback),
-            makeFailure(FailureCode::BudgetExhausted, "too many wait for this budget", m_settings.exhaustedRetryAfter));
+        return answer(std::move(callback),
+                      makeFailure(FailureCode::BudgetExhausted, "too many requests wait for this budget",
+                                  m_settings.exhaustedRetryAfter));
     }
     const TimerId timer = m_timers.after(request.deadline - m_timers.now(), [this, &entry, id = request.request] {
         handleDeadline(entry, id);
@@ -261,13 +262,13 @@
     if (it == waiting.end()) {
         return;
     }
-    // A budget that has run dry is asked about again and again. That the latest answer is still due is no reason to say
-    // that the ledger is late, when the one before said that there is too little.
-    const bool isLate = entry.second.isAsking && !wasTooLittleLately(entry.second, it->request);
+    // The ledger is asked repeatedly about an exhausted budget. If its previous answer reported too few tokens, the
+    // request is refused as exhausted rather than as late, although an answer is still pending.
+    const bool isLate = entry.second.isTakePending && !wasRecentlyInsufficient(entry.second, it->request);
     answer(std::move(it->callback),
            isLate ? makeFailure(FailureCode::LedgerLate, "the ledger did not answer in time",
                                 m_settings.unavailableRetryAfter)
-                  : makeFailure(FailureCode::BudgetExhausted, "nothing became free in time",
+                  : makeFailure(FailureCode::BudgetExhausted, "no tokens became free before the deadline",
                                 m_settings.exhaustedRetryAfter));
     waiting.erase(it);
     evaluate(entry);
@@ -276,18 +277,19 @@
 void BudgetHolder::evaluate(Entry &entry)
 {
     serveWaiting(entry);
-    refuseHopeless(entry);
+    refuseUnservable(entry);
     if (!entry.second.hasWaiting()) {
         m_withWaiting.erase(&entry);
         entry.second.releaseUnused();
         return;
     }
-    if (entry.second.isAsking || entry.second.pendingChanges > 0) {
-        m_ledger.hurry(entry.second.shard());
+    if (entry.second.isTakePending || entry.second.pendingChanges > 0) {
+        m_ledger.expedite(entry.second.shard());
     }
-    const bool isWorthAsking = !isFreeKnown(entry.second) || entry.second.lastFree >= entry.second.smallestUseful();
-    if (!entry.second.isAsking && isWorthAsking) {
-        ask(entry, Urgency::Urgent);
+    const bool isWorthAsking =
+        !isLastFreeCurrent(entry.second) || entry.second.lastFree >= entry.second.smallestUseful();
+    if (!entry.second.isTakePending && isWorthAsking) {
+        submitTake(entry, Urgency::Urgent);
     }
 }
 
@@ -297,13 +299,13 @@
     if (!budget.hasWaiting()) {
         return;
     }
-    const bool mayOvertake = !hasMoreToCome(budget);
+    const bool mayOvertake = !mayReceiveMore(budget);
     bool isBlocked = false;
     std::deque<WaitingReservation> kept;
     for (WaitingReservation &it : budget.waiting()) {
         const bool isItsTurn = !isBlocked || mayOvertake;
         if (!isItsTurn || !isGrantable(budget, it.request)) {
-            // What has to leave the headroom does not hold up what may use it.
+            // A request that is held back for the headroom does not block later requests that may use the headroom.
             isBlocked |= leavesHeadroom(budget, it.request);
             kept.push_back(std::move(it));
             continue;
@@ -313,28 +315,29 @@
     }
     budget.waiting() = std::move(kept);
     if (!budget.hasWaiting()) {
-        askIfLow(entry);
+        takeIfLow(entry);
     }
 }
 
-bool BudgetHolder::wasTooLittleLately(const HeldBudget &budget, const ReservationRequest &request) const
+bool BudgetHolder::wasRecentlyInsufficient(const HeldBudget &budget, const ReservationRequest &request) const
 {
     const std::int64_t missing = request.tokens - std::max<std::int64_t>(budget.current().available(), 0);
-    return wasFreeKnownLately(budget) && budget.lastFree < missing;
+    return isLastFreeRecent(budget) && budget.lastFree < missing;
 }
 
-// While the ledger may bring enough, requests are served in turn: small ones would take each portion before a large one
-// has its share. Once nothing more comes, a large one can only wait for open reservations to end; small ones that
-// waited behind it for its whole patience were refused as late, 150 a second of 250, with room for most of them.
-bool BudgetHolder::hasMoreToCome(const HeldBudget &budget) const
+// While the ledger may still grant enough, waiting requests are served in order; otherwise small requests would use up
+// each grant before a large one has enough. Once no more can come, a large request can only wait for open reservations
+// to end, and small requests may overtake it. When they waited behind it until their deadlines, 150 of 250 requests per
+// second were refused as late, although most of them would have fitted.
+bool BudgetHolder::mayReceiveMore(const HeldBudget &budget) const
 {
-    if (m_ledger.isStoreAway(budget.shard())) {
+    if (m_ledger.isStoreUnavailable(budget.shard())) {
         return false;
     }
-    return budget.isAsking || !isFreeKnown(budget) || budget.lastFree >= budget.smallestUseful();
+    return budget.isTakePending || !isLastFreeCurrent(budget) || budget.lastFree >= budget.smallestUseful();
 }
 
-void BudgetHolder::refuseHopeless(Entry &entry)
+void BudgetHolder::refuseUnservable(Entry &entry)
 {
     if (!entry.second.hasWaiting()) {
         return;
@@ -359,31 +362,32 @@
 
 bool BudgetHolder::leavesHeadroom(const HeldBudget &budget, const ReservationRequest &request) const
 {
-    return budget.leavesHeadroom(request, m_ledger.isStoreAway(budget.shard()), m_settings);
+    return budget.leavesHeadroom(request, m_ledger.isStoreUnavailable(budget.shard()), m_settings);
 }
 
-void BudgetHolder::noteWhetherAway(HeldBudget &budget) const
+void BudgetHolder::noteStoreState(HeldBudget &budget) const
 {
-    if (!m_ledger.isStoreAway(budget.shard())) {
-        budget.availableAtLoss.reset();
-    } else if (!budget.availableAtLoss) {
-        budget.availableAtLoss = budget.current().available();
+    if (!m_ledger.isStoreUnavailable(budget.shard())) {
+        budget.availableAtOutage.reset();
+    } else if (!budget.availableAtOutage) {
+        budget.availableAtOutage = budget.current().available();
     }
 }
 
 std::optional<absl::Status> BudgetHolder::refusalOf(const Entry &entry, const ReservationRequest &request) const
 {
     const HeldBudget &budget = entry.second;
-    const std::int64_t missing = request.tokens - budget.potential();
+    const std::int64_t missing = request.tokens - budget.maximumAvailable();
     const bool isHeldBack = !leavesHeadroom(budget, request);
     if (missing <= 0 && !isHeldBack) {
         return std::nullopt;
     }
-    if (m_ledger.isStoreAway(budget.shard())) {
-        return makeFailure(FailureCode::BudgetUnavailable, "the ledger is away and the portion here is used up",
+    if (m_ledger.isStoreUnavailable(budget.shard())) {
+        return makeFailure(FailureCode::BudgetUnavailable,
+                           "the ledger is unavailable and the portion of this process is used up",
                            m_settings.unavailableRetryAfter);
     }
-    if (budget.isAsking || !isFreeKnown(budget)) {
+    if (budget.isTakePending || !isLastFreeCurrent(budget)) {
         return std::nullopt;
     }
     if (budget.isUnknown) {
@@ -396,7 +400,8 @@
     if (!isHeldBack) {
         return std::nullopt;
     }
-    return makeFailure(FailureCode::BudgetLow, "what is left of " + entry.first.toString() + " is for urgent calls",
+    return makeFailure(FailureCode::BudgetLow,
+                       "what is left of " + entry.first.toString() + " is reserved for urgent and small calls",
                        m_settings.lowRetryAfter);
 }
 
@@ -419,7 +424,7 @@
     }
     HeldPortion *portion = entry.second.find(open.portion);
     if (!portion) {
-        // Lost to a closer, which counts the charge from what the agents keep.
+        // A closer has taken the portion over; it counts the charge from the records of the agents.
         return;
     }
     portion->reserved -= open.tokens;
--- a/src/libradishswitch/membership/leaseholder.h
+++ b/src/libradishswitch/membership/leaseholder.h
@@ -13,22 +13,24 @@
 {
 
 struct LeaseSettings {
-    /// A rival takes a lease over that it has seen unchanged for as long.
-    Duration leaseFor = std::chrono::seconds(10);
-    Duration renewEvery = std::chrono::seconds(3);
-    /// The holder trusts its lease up to this part of `leaseFor` after it began the last renewal that went well.
-    double trustedPart = 0.6;
+    /// Another process takes over a lease that it has seen unchanged for this long.
+    Duration leaseDuration = std::chrono::seconds(10);
+    /// Interval between renewals, and between attempts to acquire the lease.
+    Duration renewInterval = std::chrono::seconds(3);
+    /// The holder relies on its lease for this fraction of `leaseDuration`, counted from the start of its last
+    /// successful renewal.
+    double trustedShare = 0.6;
 };
 
-/// A lease on an object of the store, with a fencing number that grows with each change of holder.
+/// A lease on an object of the object store, with a fencing number that increases whenever the holder changes.
 ///
-/// No clocks are compared: a rival waits on its own clock from the moment at which it saw the lease change, and the
-/// holder counts on its own from before it asked for the change, so the holder stops first. A holder that is paused
-/// between asking for its fence and using it is not stopped by that; the receivers of its orders refuse the fence
-/// (OrderGate).
+/// No clocks are compared. A rival process measures on its own clock from the time at which it saw the lease change.
+/// The holder measures on its own clock from before it requested the change, so that the holder stops first. This does
+/// not stop a holder that is paused between reading its fencing number and using it; the receivers of its orders
+/// therefore refuse old fencing numbers (OrderGate).
 ///
-/// The store's answers must come under the same lock as the calls. All calls between `start` and `release` keep one
-/// timer and at most one call to the store under way.
+/// The store's answers must be delivered under the same lock as the calls of this class. Between `start` and `release`
+/// the class uses one timer, and has at most one call to the store under way.
 class LeaseHolder
 {
 public:
@@ -38,21 +40,22 @@
     LeaseHolder(const LeaseHolder &) = delete;
     LeaseHolder &operator=(const LeaseHolder &) = delete;
 
-    /// Begins to try for the lease, and to renew it once it is held.
+    /// Starts trying to acquire the lease, and renews it once it is held.
     void start();
 
-    /// Gives the lease up, so that a rival need not wait.
+    /// Gives up the lease, so that a rival does not have to wait until it expires.
     void release();
 
-    /// The fencing number, while this process may act as the holder.
+    /// The fencing number while this process may act as the lease holder, else nothing.
     std::optional<std::uint64_t> fence() const;
 
 private:
-    /// The object's content.
+    /// The content of the lease object.
     struct Lease {
         std::string holder;
         std::uint64_t fence = 0;
-        /// Grows with each renewal, so that the object's version shows that its holder lives.
+        /// Increases with each renewal. The write changes the version of the object, which shows rivals that the holder
+        /// is alive.
         std::uint64_t renewals = 0;
     };
 
@@ -60,25 +63,26 @@
     static std::string serialize(const Lease &lease);
 
     void read();
-    void takeRead(const absl::StatusOr<StoredObject> &object);
-    void takeLease(const StoredObject &object, const Lease &lease);
+    void handleRead(const absl::StatusOr<StoredObject> &object);
+    void handleLease(const StoredObject &object, const Lease &lease);
     void write(Lease lease, std::uint64_t version);
-    void takeWritten(const absl::StatusOr<std::uint64_t> &version, const Lease &lease, Instant asked);
-    bool isRivalSilent(std::uint64_t version);
+    void handleWritten(const absl::StatusOr<std::uint64_t> &version, const Lease &lease, Instant requestedAt);
+    bool isRivalExpired(std::uint64_t version);
 
     ObjectStore &m_store;
     TimerService &m_timers;
     const std::string m_key;
-    const IncarnationId m_me;
+    const IncarnationId m_ownIncarnation;
     const LeaseSettings m_settings;
     TimerId m_timer = 0;
     bool m_isBusy = false;
     bool m_isReleasing = false;
     std::uint64_t m_fence = 0;
     Instant m_confirmedAt{};
-    std::uint64_t m_seenVersion = 0;
-    Instant m_seenAt{};
-    /// Answers that come after this object's end find it empty.
+    std::uint64_t m_rivalVersion = 0;
+    Instant m_rivalVersionSeenAt{};
+    /// Shared with the callbacks of the store; set to null by the destructor, so that answers that arrive later are
+    /// dropped.
     std::shared_ptr<LeaseHolder *> m_self;
 };
 
--- a/src/libradishswitch/routing/defaultpolicy.h
+++ b/src/libradishswitch/routing/defaultpolicy.h
@@ -7,12 +7,14 @@
 namespace RadishSwitch
 {
 
-/// The least expected time to the first token among a few endpoints: the next ones in turn, and those that hold the
-/// most of the prompt in their cache unless they are busier than the rest.
+/// Chooses the endpoint with the lowest expected time to the first token. The policy does not score every endpoint of
+/// the pool: it scores a few, taken in rotation, and those whose prefix cache holds the longest part of the prompt,
+/// unless these are much busier than the others.
 ///
-/// Endpoints that differ by less than what is uncertain about their load count as equal, and the first in turn gets
-/// the work. So with fresh reports the least busy one is found; with old ones the work goes round, but for endpoints
-/// that are clearly worse, and a herd of processes does not run after the same old news.
+/// Endpoints count as equal while their costs differ by less than the uncertainty of their load, and the first of them
+/// in the rotation is chosen. With fresh reports the policy therefore finds the least busy endpoint. With old reports
+/// it goes round robin and only skips endpoints that are clearly worse, so that many router processes do not all send
+/// to the endpoint that was idle in the same old report.
 class DefaultPolicy : public RoutingPolicy
 {
 public:
@@ -26,23 +28,23 @@
     std::optional<EndpointSlot> choose(const RouteCandidates &candidates) override;
 
 private:
-    struct Weighed {
+    struct ScoredEndpoint {
         EndpointSlot slot = 0;
         RouteCost cost;
         double utilisation = 0;
     };
 
-    using WeighedList = absl::InlinedVector<Weighed, 8>;
+    using ScoredEndpoints = absl::InlinedVector<ScoredEndpoint, 8>;
 
-    static Weighed weigh(const RouteCandidates &candidates, EndpointSlot slot);
-    WeighedList weighNext(const RouteCandidates &candidates);
-    static WeighedList dropSlowStarters(const RouteCandidates &candidates, WeighedList weighed);
-    static WeighedList weighAll(const RouteCandidates &candidates);
-    static void addAffine(const RouteCandidates &candidates, WeighedList &weighed);
-    static EndpointSlot firstAsGoodAsBest(const WeighedList &weighed);
+    static ScoredEndpoint score(const RouteCandidates &candidates, EndpointSlot slot);
+    ScoredEndpoints scoreNext(const RouteCandidates &candidates);
+    static ScoredEndpoints dropSlowStarting(const RouteCandidates &candidates, ScoredEndpoints scored);
+    static ScoredEndpoints scoreAll(const RouteCandidates &candidates);
+    static void addCacheHolders(const RouteCandidates &candidates, ScoredEndpoints &scored);
+    static EndpointSlot firstEquivalentToBest(const ScoredEndpoints &scored);
 
-    bool m_hasTurn = false;
-    std::size_t m_turn = 0;
+    bool m_hasCursor = false;
+    std::size_t m_cursor = 0;
 };
 
 }
--- a/src/libradishswitch/serving/endpointadmission.cpp
+++ b/src/libradishswitch/serving/endpointadmission.cpp
@@ -31,13 +31,13 @@
     if (!acceptsCalls(availability)) {
         return Admission::Closed;
     }
-    if (it.backoff.isOn(now)) {
+    if (it.backoff.isActive(now)) {
         return Admission::BackedOff;
     }
     if (std::ranges::find(query.excluded, it.listing.id) != query.excluded.end()) {
         return Admission::Tried;
     }
-    if (it.inFlight >= static_cast<int>(it.inFlightLimit) || it.pause.isOn(now)) {
+    if (it.inFlight >= static_cast<int>(it.inFlightLimit) || it.pause.isActive(now)) {
         return Admission::Full;
     }
     if (isShareUsedUp(slot, now)) {
@@ -63,7 +63,7 @@
 
 bool EndpointAdmission::mayStillBeSent(EndpointSlot slot, Instant now) const
 {
-    return acceptsCalls(m_registry.availability(slot, now)) && !m_registry.at(slot).backoff.isOn(now);
+    return acceptsCalls(m_registry.availability(slot, now)) && !m_registry.at(slot).backoff.isActive(now);
 }
 
 // A cold endpoint that is sent more calls than it can take crashes, and all its calls fail. An endpoint that announces
--- a/src/libradishswitch/serving/endpointregistry.h
+++ b/src/libradishswitch/serving/endpointregistry.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "limits/answerpressure.h"
 #include "limits/endpointbackoff.h"
+#include "limits/endpointoverload.h"
 #include "limits/refusalpause.h"
-#include "limits/slidingcount.h"
+#include "limits/slidingwindowcounter.h"
 #include "routing/endpointejection.h"
 #include "routing/endpointstate.h"
 #include "serving/endpointlisting.h"
@@ -99,13 +99,13 @@
     /// Until when it is considered cold; Instant::min() if it is warm.
     Instant coldUntil = Instant::min();
     /// Calls that this process has sent to the endpoint while it was cold.
-    SlidingCount coldCalls{kColdCallWindow};
+    SlidingWindowCounter coldCalls{kColdCallWindow};
     /// Limit that the endpoint has announced, in calls per second from all gateways together; nullopt if it announces
     /// none. `announcedLimitAt` is when this was last reported.
     std::optional<double> announcedLimit;
     Instant announcedLimitAt = Instant::min();
     /// Calls that this process has sent to the endpoint while it announced a limit.
-    SlidingCount limitedCalls{kAnnouncedLimitWindow + kAnnouncedLimitMargin};
+    SlidingWindowCounter limitedCalls{kAnnouncedLimitWindow + kAnnouncedLimitMargin};
     /// While the backoff is on, the endpoint has asked this process to send nothing.
     EndpointBackoff backoff;
     /// Pause after the endpoint has refused a call without giving a backoff time.
@@ -123,7 +123,7 @@
     double delaySeconds = 0;
     Instant delayNotedAt{};
     /// Overload of the endpoint, measured by the answers whose latency indicates its load.
-    AnswerPressure pressure;
+    EndpointOverload pressure;
     EndpointEjection ejection;
 };
 
--- a/src/libradishswitch/serving/objectfollower.h
+++ b/src/libradishswitch/serving/objectfollower.h
@@ -13,32 +13,33 @@
 {
 
 struct ObjectFollowerSettings {
-    /// Waits between failed calls: the first, doubled up to the longest, each drawn between half and the whole. Short
-    /// enough that a change made during an outage is known a second after its end.
+    /// Backoff between failed calls: it starts with the first, doubles up to the longest, and is drawn between half and
+    /// all of that. Short enough that a change made during an outage is known a second after its end.
     Duration firstBackoff = std::chrono::milliseconds(100);
     Duration longestBackoff = std::chrono::milliseconds(800);
-    /// After changes the next watch begins so much later: what comes meanwhile is read as one. Reading a configuration
-    /// of 50 kB takes the smallest instances some 30 ms, and in a storm there are sixteen a second.
+    /// How long the next watch is delayed after changes, so that further changes in that time are read as one. Reading
+    /// a configuration of 50 kB takes the smallest instances about 30 ms, and at times of many changes there are
+    /// sixteen a second.
     Duration changePause{};
 };
 
-/// Keeps up with the objects of the platform's store under one prefix: lists them once and then watches, from the
-/// version known on, and lists anew when the store no longer has that much history.
+/// Follows the objects of the platform's store under one prefix: lists them once, then watches them from the version of
+/// the list on, and lists them again if the store no longer has that much history.
 ///
 /// Single-threaded: the store's callbacks must come on the owner's thread.
 class ObjectFollower
 {
 public:
-    /// Everything up to a version is known: by these changes, or by a list, which has all objects; nothing when the
-    /// store failed to answer.
+    /// The result of a call to the store. Everything up to the version of `changes` is known, either from the changes
+    /// since the last call or from a list, which contains all objects. After a failed call `isStoreReachable` is false.
     struct Progress {
-        bool isReached = false;
+        bool isStoreReachable = false;
         bool wasListed = false;
         StoreChanges changes;
     };
 
     using ProgressCallback = std::function<void(const Progress &)>;
-    using ContactCallback = std::function<void(bool isReached)>;
+    using ReachabilityCallback = std::function<void(bool isStoreReachable)>;
 
     ObjectFollower(ObjectStore &store, TimerService &timers, RandomSource &random, std::string prefix,
                    ObjectListener &listener, ObjectFollowerSettings settings = {});
@@ -47,18 +48,18 @@
     ObjectFollower(const ObjectFollower &) = delete;
     ObjectFollower &operator=(const ObjectFollower &) = delete;
 
-    /// Called when the store is lost, and when it answers again.
-    void setContactCallback(ContactCallback callback);
+    /// Called when the store stops answering, and when it answers again.
+    void setReachabilityCallback(ReachabilityCallback callback);
 
-    /// Called with every answer of the store and every failure, after the listener.
+    /// Called after the listener, for every answer of the store and for every failure.
     void setProgressCallback(ProgressCallback callback);
 
     void start();
 
-    /// Whether the store answered last.
-    bool isReached() const
+    /// Whether the store answered the last call. A single interrupted watch does not count as a failure.
+    bool isStoreReachable() const
     {
-        return m_isReached;
+        return m_isStoreReachable;
     }
 
     /// The version of the store up to which the objects are known; zero before the first list.
@@ -73,8 +74,8 @@
     void handleListed(const absl::StatusOr<StoreChanges> &changes);
     void handleChanged(const absl::StatusOr<StoreChanges> &changes);
     void retryLater(const absl::Status &status, void (ObjectFollower::*step)());
-    void tellProgress(const Progress &progress);
-    void setReached(bool isReached);
+    void reportProgress(const Progress &progress);
+    void setStoreReachable(bool isStoreReachable);
     ObjectStore::Callback<StoreChanges> guarded(void (ObjectFollower::*handler)(const absl::StatusOr<StoreChanges> &));
 
     ObjectStore &m_store;
@@ -83,11 +84,11 @@
     const std::string m_prefix;
     ObjectListener &m_listener;
     const ObjectFollowerSettings m_settings;
-    ContactCallback m_onContact;
+    ReachabilityCallback m_onReachabilityChanged;
     ProgressCallback m_onProgress;
     std::uint64_t m_version = 0;
     int m_failures = 0;
-    bool m_isReached = true;
+    bool m_isStoreReachable = true;
     TimerId m_timer = 0;
     std::shared_ptr<int> m_alive = std::make_shared<int>(0);
 };
--- a/tests/core/budgets/ridealong_test.cpp
+++ b/tests/core/budgets/ridealong_test.cpp
@@ -3,7 +3,7 @@
 namespace RadishSwitch
 {
 
-/// A holder of ten budgets of two shards, each drawn on at moments of its own.
+/// A holder of ten budgets in two shards, which are used at different times.
 class RideAlongTest : public BudgetFixture
 {
 protected:
@@ -11,13 +11,13 @@
 
     RideAlongTest()
     {
-        ledgerSettings.keepsShards = true;
+        ledgerSettings.cachesShards = true;
         ledgerSettings.soonDelay = Milliseconds(200);
         ledgerSettings.relaxedDelay = Milliseconds(800);
         holderSettings.survivalTime = Milliseconds(7500);
         holderSettings.lowWaterShare = 0.7;
         holderSettings.use.averagingTime = Seconds(4);
-        holderSettings.relaxedAskInterval = Seconds(2);
+        holderSettings.relaxedTakeInterval = Seconds(2);
         holderSettings.checkpointInterval = Seconds(8);
         holderSettings.relaxedCheckpointInterval = Seconds(16);
     }
@@ -32,8 +32,8 @@
         int granted = 0;
     };
 
-    /// Half a minute of six to seven calls a second of each budget.
-    Outcome playHalfAMinute(double rideAlongShare)
+    /// Half a minute with six to seven calls per second for each budget.
+    Outcome simulateHalfAMinute(double rideAlongShare)
     {
         holderSettings.rideAlongShare = rideAlongShare;
         for (int n = 0; n < kBudgets; ++n) {
@@ -67,13 +67,13 @@
     int m_calls = 0;
 };
 
-TEST_F(RideAlongTest, budgetsOfAShardInUseAtOnce_areRenewedByOneWriteTogether)
+TEST_F(RideAlongTest, budgetsOfOneShard_usedAtOnce_areRefilledByOneWrite)
 {
-    // Ten organisations call all day long. Each of their portions runs low at a moment of its own, and each time the
-    // whole shard is written for the one of them. Renewed together they cost less than half of the calls to the store,
-    // and no caller is refused for it.
-    const Outcome alone = playHalfAMinute(0);
-    const Outcome together = playHalfAMinute(0.97);
+    // Ten organisations make calls all the time. Each of their portions runs low at its own time, and each time the
+    // whole shard is written for that budget. When all budgets of a shard are refilled by the same write, the store
+    // gets less than half of the writes, and no more callers are refused.
+    const Outcome alone = simulateHalfAMinute(0);
+    const Outcome together = simulateHalfAMinute(0.97);
 
     EXPECT_LT(2 * together.writes, alone.writes);
     EXPECT_GE(together.granted, alone.granted * 95 / 100);
--- a/tests/fakes/fakeagents.h
+++ b/tests/fakes/fakeagents.h
@@ -8,7 +8,8 @@
 #include <set>
 #include <utility>
 
-/// Agents in memory: they run, charge, and close portions; each can fall silent or die and forget.
+/// Agents in memory, which run requests, charge them and close portions. Each agent can become silent, or restart and
+/// so forget older charges.
 class FakeAgents : public RadishSwitch::AgentPort
 {
 public:
@@ -27,25 +28,25 @@
         m_agents[address];
     }
 
-    /// The agent knows charges only so far back, since it started anew.
+    /// The agent knows its charges of this past time span only, as if it had restarted then.
     void setCompleteFor(const std::string &address, RadishSwitch::Duration span)
     {
         m_agents[address].completeFor = span;
     }
 
-    /// Each portion has so many tokens charged by provisional runs there.
+    /// Every portion has this many tokens charged by provisional runs at the agent.
     void setProvisionalTokens(const std::string &address, std::int64_t tokens)
     {
         m_agents[address].provisionalTokens = tokens;
     }
 
-    /// A silent agent does not answer closers; its runs go on.
+    /// A silent agent does not answer `closePortions`, but its runs continue.
     void setSilent(const std::string &address, bool isSilent)
     {
         m_agents[address].isSilent = isSilent;
     }
 
-    /// Whether the agent started the run; false when it has closed the portion.
+    /// Starts the run. Returns false when the agent has closed the portion.
     bool start(const std::string &address, const RequestId &request, const PortionId &portion)
     {
         Agent &agent = m_agents[address];
@@ -68,10 +69,10 @@
         return m_agents[address].running[portion].contains(request);
     }
 
-    /// Stands for everything that closers were told, in its order.
-    std::uint64_t toldDigest() const
+    /// Hash over all answers of `closePortions`, in their order.
+    std::uint64_t answerDigest() const
     {
-        return m_toldDigest;
+        return m_answerDigest;
     }
 
     std::vector<std::string> agentAddresses() const override
@@ -95,14 +96,14 @@
                        std::function<void(absl::StatusOr<std::vector<PortionCharges>>)> callback) override
     {
         m_tasks.post([this, address, portions = std::move(portions), callback = std::move(callback)] {
-            m_toldDigest = m_toldDigest * kDigestFactor + 1;
+            m_answerDigest = m_answerDigest * kDigestFactor + 1;
             if (m_agents[address].isSilent) {
                 return callback(RadishSwitch::makeFailure(RadishSwitch::FailureCode::ConnectionSilent, address));
             }
             std::vector<PortionCharges> answer;
             for (const PortionId &portion : portions) {
                 answer.push_back(close(m_agents[address], portion));
-                noteTold(answer.back());
+                addToAnswerDigest(answer.back());
             }
             callback(answer);
         });
@@ -126,12 +127,12 @@
         std::map<PortionId, std::map<RequestId, std::int64_t>> charges;
     };
 
-    void noteTold(const PortionCharges &charges)
+    void addToAnswerDigest(const PortionCharges &charges)
     {
         for (const PortionCharges::Charge &charge : charges.charges) {
-            m_toldDigest = m_toldDigest * kDigestFactor + static_cast<std::uint64_t>(charge.tokens);
+            m_answerDigest = m_answerDigest * kDigestFactor + static_cast<std::uint64_t>(charge.tokens);
         }
-        m_toldDigest = m_toldDigest * kDigestFactor + charges.running.size();
+        m_answerDigest = m_answerDigest * kDigestFactor + charges.running.size();
     }
 
     static PortionCharges close(Agent &agent, const PortionId &portion)
@@ -157,5 +158,5 @@
 
     RadishSwitch::TaskQueue &m_tasks;
     std::map<std::string, Agent> m_agents;
-    std::uint64_t m_toldDigest = 0;
+    std::uint64_t m_answerDigest = 0;
 };
--- a/tests/golden/requestsession_test.cpp
+++ b/tests/golden/requestsession_test.cpp
@@ -7,7 +7,7 @@
 // whole answer. The quote ran once and is billed once.
 TEST_F(RequestSession, routerDeath_withRetry_runsAndBillsOnce)
 {
-    const AdmitQuestion quote = question("quote-17", false);
+    const AdmissionQuery quote = question("quote-17", false);
     recorder.tells("A shop asks for a quote.");
     call("entry-1", quote, "agent-1");
     advance(std::chrono::milliseconds(100));
@@ -34,8 +34,8 @@
 // the claim is undone, the shop's retry claims it again and the order runs once.
 TEST_F(RequestSession, storeOutage_withLostClaim_refusesAtOnceAndRunsOnceLater)
 {
-    const AdmitQuestion quote = question("quote-18", false);
-    const AdmitQuestion order = question("blinds-5", true);
+    const AdmissionQuery quote = question("quote-18", false);
+    const AdmissionQuery order = question("blinds-5", true);
     recorder.tells("A shop asks for a quote; entry-1 becomes the owner of its keys.");
     call("entry-1", quote, "agent-1");
     advance(std::chrono::milliseconds(50));
@@ -45,7 +45,7 @@
     call("entry-1", order, "agent-2");
     advance(std::chrono::milliseconds(10));
     recorder.happens("the store goes away");
-    store.setAway(true);
+    store.setUnavailable(true);
     advance(std::chrono::milliseconds(90));
 
     recorder.tells("The quote goes on without the store.");
@@ -58,7 +58,7 @@
 
     recorder.tells("The store is back; the claim that did not run is undone.");
     recorder.happens("the store is back");
-    store.setAway(false);
+    store.setUnavailable(false);
     advance(std::chrono::milliseconds(8000));
 
     recorder.tells("The shop comes back again.");
@@ -80,8 +80,8 @@
 // entry ends. A late retry of the quote gets its answer at the other entry and runs nothing.
 TEST_F(RequestSession, plannedStop_midAnswer_endsItsRequestsAndLosesNone)
 {
-    const AdmitQuestion quote = question("quote-19", false);
-    const AdmitQuestion next = question("quote-20", false);
+    const AdmissionQuery quote = question("quote-19", false);
+    const AdmissionQuery next = question("quote-20", false);
     recorder.tells("A shop asks for a quote.");
     call("entry-1", quote, "agent-1");
     advance(std::chrono::milliseconds(50));
--- a/tests/radishswitch-entry/homesession_test.cpp
+++ b/tests/radishswitch-entry/homesession_test.cpp
@@ -10,9 +10,9 @@
 class LocalHomeSessionTest : public testing::Test
 {
 protected:
-    AdmitQuestion question() const
+    AdmissionQuery question() const
     {
-        AdmitQuestion question;
+        AdmissionQuery question;
         question.request = RequestId("r-1");
         question.budget = {OrganisationId("magnolia"), "main"};
         question.worstCaseTokens = 100;
@@ -82,11 +82,11 @@
 TEST_F(LocalHomeSessionTest, destructor_beforeTheGrant_abandonsItWhenItComes)
 {
     auto session = open();
-    entry->reservations.setHolding(true);
+    entry->reservations.setDelayingAnswers(true);
     session->admit(question(), [](const auto &) {});
     fleet.settle();
     session.reset();
-    entry->reservations.setHolding(false);
+    entry->reservations.setDelayingAnswers(false);
     fleet.advance(std::chrono::seconds(30));
     EXPECT_EQ(reserved(), 0);
     EXPECT_EQ(entry->reservations.free(), SmallFleet::kTokens);
@@ -95,7 +95,7 @@
 
 TEST(HomeWireTest, admitQuestion_overTheWire_isTheSame)
 {
-    AdmitQuestion question;
+    AdmissionQuery question;
     question.request = RequestId("r-1");
     question.budget = {OrganisationId("magnolia"), "main"};
     question.worstCaseTokens = 100;
--- a/tests/radishswitch-gateway/backedoffendpoints_test.cpp
+++ b/tests/radishswitch-gateway/backedoffendpoints_test.cpp
@@ -5,17 +5,17 @@
 
 using namespace RadishSwitch;
 
-/// Endpoints that turn calls away and say for how long they want none of the gateway that sent them.
+/// Endpoints that refuse calls and state for how long the gateway should send them none.
 class BackedOffEndpointsTest : public GatewayFixture
 {
 protected:
     using Milliseconds = std::chrono::milliseconds;
 
     static constexpr Duration kPause = Milliseconds(25);
-    /// Calls under way when an endpoint asks for backoff may still arrive so long after.
-    static constexpr Duration kOnTheirWay = Milliseconds(500);
-    /// Calls of one gateway that may reach an endpoint while it wants none.
-    static constexpr std::size_t kMost = 2;
+    /// Calls in flight when an endpoint asks for backoff may still arrive within this time.
+    static constexpr Duration kInFlightTime = Milliseconds(500);
+    /// Maximum number of calls of one gateway that may reach an endpoint during its backoff.
+    static constexpr std::size_t kMaximumCalls = 2;
 
     void startWithBoth()
     {
@@ -25,12 +25,12 @@
 
     void turnAway(ReplicaServer &endpoint, std::optional<std::string> backoff)
     {
-        onStandins([&] {
+        onTestServers([&] {
             endpoint.turnAway(backoff);
         });
     }
 
-    /// Sends calls for a time, and gives how many were answered.
+    /// Sends calls during a span, and returns how many were answered.
     int send(Duration span, const std::string &target = "/safe/1")
     {
         int answered = 0;
@@ -43,14 +43,14 @@
         return answered;
     }
 
-    /// The most calls that reached an endpoint while one of its demands held, but for those on their way.
-    std::size_t mostWhileBackedOff(const ReplicaServer &endpoint, Duration backoff)
+    /// The maximum number of calls that reached the endpoint during one of its backoffs, without those in flight.
+    std::size_t maximumCallsDuringBackoff(const ReplicaServer &endpoint, Duration backoff)
     {
-        return onStandins([&] {
+        return onTestServers([&] {
             std::size_t most = 0;
             const std::vector<Instant> &arrivals = endpoint.arrivals();
             for (const Instant demand : endpoint.demands()) {
-                const auto first = std::ranges::lower_bound(arrivals, demand + kOnTheirWay);
+                const auto first = std::ranges::lower_bound(arrivals, demand + kInFlightTime);
                 const auto last = std::ranges::lower_bound(arrivals, demand + backoff);
                 most = std::max(most, static_cast<std::size_t>(std::max(last - first, std::ptrdiff_t(0))));
             }
@@ -60,7 +60,7 @@
 
     std::size_t arrivalsAt(const ReplicaServer &endpoint)
     {
-        return onStandins([&endpoint] {
+        return onTestServers([&endpoint] {
             return endpoint.arrivals().size();
         });
     }
@@ -69,19 +69,19 @@
     int m_calls = 0;
 };
 
-// Guards against an endpoint that is sent calls while it has asked for none.
-TEST_F(BackedOffEndpointsTest, endpointThatAsksForBackoff_isSentNothingMeanwhile)
+// Guards against calls to an endpoint that has asked for backoff.
+TEST_F(BackedOffEndpointsTest, endpointAsksForBackoff_receivesNoCallsUntilItEnds)
 {
     startWithBoth();
     turnAway(first, "3");
     const int answered = send(std::chrono::seconds(4));
-    EXPECT_LE(mostWhileBackedOff(first, std::chrono::seconds(3)), kMost);
-    // All but the first few of some 150, which the other endpoint can take.
+    EXPECT_LE(maximumCallsDuringBackoff(first, std::chrono::seconds(3)), kMaximumCalls);
+    // Nearly all of about 150 calls are answered, since the other endpoint has room for them.
     EXPECT_GE(answered, 100);
 }
 
-// Guards against further attempts, streams and calls that must not run twice that pass a backoff by.
-TEST_F(BackedOffEndpointsTest, callsOfAllKinds_keepToABackoff)
+// Guards against a backoff that is ignored by further attempts, by streams, or by calls that must not be repeated.
+TEST_F(BackedOffEndpointsTest, callsOfAllKinds_respectBackoff)
 {
     startWithBoth();
     turnAway(first, "3");
@@ -91,11 +91,11 @@
         (void)call(n % 2 == 0 ? streamRequest(n % 4 == 0 ? "/resumable/1" : "/once/1", id) : request("/order/1", id));
         std::this_thread::sleep_for(kPause / 2);
     }
-    EXPECT_LE(mostWhileBackedOff(first, std::chrono::seconds(3)), kMost);
+    EXPECT_LE(maximumCallsDuringBackoff(first, std::chrono::seconds(3)), kMaximumCalls);
 }
 
-// Guards against an endpoint that is never sent a call again, or much later than it asked for.
-TEST_F(BackedOffEndpointsTest, backoffThatIsOver_letsCallsThrough)
+// Guards against an endpoint that receives no calls after its backoff has ended, or only much later.
+TEST_F(BackedOffEndpointsTest, expiredBackoff_endpointReceivesCallsAgain)
 {
     startWithBoth();
     turnAway(first, "1");
@@ -107,8 +107,9 @@
     EXPECT_GE(arrivalsAt(first) - before, 5U);
 }
 
-// Guards against callers that wait for their deadline, or come back too early, while all endpoints want none.
-TEST_F(BackedOffEndpointsTest, callWhileAllBackedOff_isRefusedAtOnceWithTheTimeOfTheFirst)
+// Guards against callers that wait until their deadline, or retry too early, while all endpoints have asked for
+// backoff.
+TEST_F(BackedOffEndpointsTest, allEndpointsBackedOff_callIsRefusedAtOnceWithEarliestRetryAfter)
 {
     startWithBoth();
     turnAway(first, "6");
@@ -125,8 +126,9 @@
     EXPECT_EQ(runs("told"), 0);
 }
 
-// Guards against an endpoint that is starved by what it says, and against a gateway that fails over it.
-TEST_F(BackedOffEndpointsTest, demandThatIsNoTime_isIgnored)
+// Guards against an endpoint that receives no calls because of a malformed Retry-After, and against a gateway that
+// fails on such a header.
+TEST_F(BackedOffEndpointsTest, malformedBackoff_isIgnored)
 {
     startWithBoth();
     for (const std::string backoff : {"soon", "-3", "nan", "inf", "3 s", "0", ""}) {
@@ -139,14 +141,14 @@
     }
 }
 
-// Guards against a later life that pays for what the one before it asked for.
-TEST_F(BackedOffEndpointsTest, laterLifeOfAnEndpoint_isFree)
+// Guards against a restarted endpoint that receives no calls because of the backoff of its earlier incarnation.
+TEST_F(BackedOffEndpointsTest, restartedEndpoint_isFreeOfEarlierBackoff)
 {
     startWithBoth();
     turnAway(first, "60");
     send(Milliseconds(500));
     turnAway(first, std::nullopt);
-    onStandins([this] {
+    onTestServers([this] {
         putObject("servers", "replica-1", endpointEntry(first.port(), "ready", 2'000));
     });
     const std::size_t before = arrivalsAt(first);
--- a/tests/radishswitch-gateway/gatewayfixture.h
+++ b/tests/radishswitch-gateway/gatewayfixture.h
@@ -12,9 +12,9 @@
 
 #include <future>
 
-/// A gateway on loopback before stand-ins of the platform's store and of two endpoints of one pool, "llm".
+/// A gateway on loopback, with test servers in place of the platform's store and of two endpoints of one pool, "llm".
 ///
-/// The stand-ins share one worker; what a test asks of them goes there, so that nothing is shared between threads.
+/// The test servers share one worker. Tests access them on that worker only, so that no data is shared between threads.
 class GatewayFixture : public testing::Test
 {
 protected:
@@ -25,15 +25,15 @@
     using StoreServer = RadishSwitch::StoreServer;
     using Duration = RadishSwitch::Duration;
 
-    static constexpr Duration kLong = std::chrono::seconds(20);
+    static constexpr Duration kTestTimeout = std::chrono::seconds(20);
     static constexpr char kKey[] = "key-of-magnolia";
 
     GatewayFixture()
-        : standins(1)
+        : testServers(1)
         , callers(1)
-        , store(standins)
-        , first(standins, replicaSettings("replica-1"))
-        , second(standins, replicaSettings("replica-2"))
+        , store(testServers)
+        , first(testServers, serverSettings("replica-1"))
+        , second(testServers, serverSettings("replica-2"))
         , client(callers)
     {
         EXPECT_TRUE(store.listen("127.0.0.1", 0).ok());
@@ -41,32 +41,32 @@
         EXPECT_TRUE(second.listen("127.0.0.1", 0).ok());
         putConfiguration(1, 1'000'000);
         putEndpoint("replica-1", first.port(), "ready");
-        standins.start();
+        testServers.start();
         callers.start();
     }
 
     ~GatewayFixture() override
     {
-        other.reset();
+        otherGateway.reset();
         gateway.reset();
         callers.stop();
-        standins.stop();
+        testServers.stop();
     }
 
-    static RadishSwitch::ReplicaSettings replicaSettings(const std::string &id)
+    static RadishSwitch::ReplicaSettings serverSettings(const std::string &id)
     {
         RadishSwitch::ReplicaSettings settings;
         settings.id = id;
         return settings;
     }
 
-    /// Runs something on the stand-ins' worker.
+    /// Runs a function on the worker of the test servers and returns its result.
     template<typename Work>
-    auto onStandins(Work work) -> decltype(work())
+    auto onTestServers(Work work) -> decltype(work())
     {
         std::promise<decltype(work())> done;
         auto result = done.get_future();
-        standins.post([&] {
+        testServers.post([&] {
             if constexpr (std::is_void_v<decltype(work())>) {
                 work();
                 done.set_value();
@@ -77,7 +77,7 @@
         return result.get();
     }
 
-    /// Only before the stand-ins run, or on their worker.
+    /// To be called on the worker of the test servers, or before that worker is started.
     void putObject(const std::string &kind, const std::string &name, const Json &spec)
     {
         Json object{{"metadata", {{"name", name}}}, {"spec", spec}};
@@ -132,10 +132,10 @@
         putObject("config", "main", configuration(version, reserved));
     }
 
-    /// Adds the second endpoint, and waits until calls go there.
+    /// Lists the second endpoint, and waits until it receives calls.
     void addSecond()
     {
-        onStandins([this] {
+        onTestServers([this] {
             putEndpoint("replica-2", second.port(), "ready");
         });
         waitUntil([this] {
@@ -159,19 +159,19 @@
         return settings;
     }
 
-    /// Starts the gateway and waits until it says that it is ready.
+    /// Starts the gateway, and waits until it reports that it is ready.
     void start()
     {
         gateway.reset();
         gateway = startGateway(gatewaySettings());
     }
 
-    /// Starts a second gateway of the same fleet, and waits likewise.
+    /// Starts a second gateway of the same fleet, and waits until it reports that it is ready.
     void startOther()
     {
         RadishSwitch::GatewaySettings settings = gatewaySettings();
         settings.instance = "gateway-of-other-callers";
-        other = startGateway(settings);
+        otherGateway = startGateway(settings);
     }
 
     std::unique_ptr<RadishSwitch::Gateway> startGateway(const RadishSwitch::GatewaySettings &settings)
@@ -187,17 +187,17 @@
         return started;
     }
 
-    /// Asks again and again until `condition` holds, for a long time at most.
+    /// Evaluates the condition repeatedly until it holds; fails the test after `kTestTimeout`.
     template<typename Condition>
     void waitUntil(Condition condition)
     {
-        const auto end = std::chrono::steady_clock::now() + kLong;
+        const auto end = std::chrono::steady_clock::now() + kTestTimeout;
         while (!condition()) {
-            ASSERT_LT(std::chrono::steady_clock::now(), end) << "it never came true";
+            ASSERT_LT(std::chrono::steady_clock::now(), end) << "the condition did not hold in time";
         }
     }
 
-    absl::StatusOr<HttpResponse> fetchFrom(std::uint16_t port, HttpRequest request, Duration wait = kLong)
+    absl::StatusOr<HttpResponse> fetchFrom(std::uint16_t port, HttpRequest request, Duration wait = kTestTimeout)
     {
         auto work = client.fetch("127.0.0.1:" + std::to_string(port), std::move(request), wait);
         return boost::asio::co_spawn(callers.context(), std::move(work), boost::asio::use_future).get();
@@ -216,7 +216,7 @@
         return request;
     }
 
-    /// A call that is answered by a stream: `maximumOutput` / 7 events.
+    /// A call that is answered by a stream of `maximumOutput` / 7 events.
     static HttpRequest streamRequest(const std::string &target, const std::string &call, int maximumOutput = 70)
     {
         HttpRequest it = request(target, call);
@@ -240,10 +240,10 @@
         return text;
     }
 
-    /// How often a call has run, over both endpoints.
+    /// How many times a call has run, at both endpoints together.
     int runs(const std::string &call)
     {
-        return onStandins([&] {
+        return onTestServers([&] {
             int sum = 0;
             for (const ReplicaServer *it : {&first, &second}) {
                 const auto found = it->runs().find(call);
@@ -255,19 +255,19 @@
 
     void addFaults(ReplicaServer::Fault fault, int count)
     {
-        onStandins([&] {
+        onTestServers([&] {
             first.addFaults(fault, count);
             second.addFaults(fault, count);
         });
     }
 
     std::vector<std::string> extraRoutes;
-    RadishSwitch::WorkerPool standins;
+    RadishSwitch::WorkerPool testServers;
     RadishSwitch::WorkerPool callers;
     StoreServer store;
     ReplicaServer first;
     ReplicaServer second;
     RadishSwitch::HttpClient client;
     std::unique_ptr<RadishSwitch::Gateway> gateway;
-    std::unique_ptr<RadishSwitch::Gateway> other;
+    std::unique_ptr<RadishSwitch::Gateway> otherGateway;
 };
