--- a/src/fleet/peerregistry.cpp
+++ b/src/fleet/peerregistry.cpp
@@ -62,7 +62,7 @@
         return;
     }
     m_peers[name] = *peer;
-    kLog.debug("peer listed", {field("process", name), field("address", peer->address)});
+    kLog.debug("known", {field("process", name), field("address", peer->address)});
 }
 
 }
--- a/src/gateway/cordonlistener.cpp
+++ b/src/gateway/cordonlistener.cpp
@@ -29,7 +29,7 @@
         }
     }
     m_gate.setClosedZones(zones);
-    kLog.info("cordons listed", {field("closed", absl::StrJoin(m_gate.registry().cordons().closedZones(), ","))});
+    kLog.info("listed", {field("closed", absl::StrJoin(m_gate.registry().cordons().closedZones(), ","))});
 }
 
 void CordonListener::objectsChanged(const std::vector<StoredObject> &objects)
@@ -46,10 +46,10 @@
         return;
     }
     if (object.version == 0) {
-        kLog.warning("zone reopened", {field("zone", *zone)});
+        kLog.warning("opened", {field("zone", *zone)});
         return m_gate.openZone(*zone);
     }
-    kLog.warning("zone closed", {field("zone", *zone), field("revision", object.version)});
+    kLog.warning("closed", {field("zone", *zone), field("revision", object.version)});
     m_gate.closeZone(*zone);
 }
 
--- a/src/gateway/endpointlistener.cpp
+++ b/src/gateway/endpointlistener.cpp
@@ -37,7 +37,7 @@
             listings.push_back(std::move(*listing));
         }
     }
-    kLog.info("endpoints listed", {field("endpoints", listings.size())});
+    kLog.info("listed", {field("endpoints", listings.size())});
     for (const EndpointId &endpoint : m_gate.registry().replaceAll(listings, m_timers.now())) {
         handleRestart(endpoint);
     }
@@ -76,7 +76,7 @@
     if (outcome == ListingOutcome::Restarted) {
         handleRestart(listing.id);
     }
-    kLog.info(listing.isLeaving ? "endpoint leaving" : "endpoint listed",
+    kLog.info(listing.isLeaving ? "leaving" : "listed",
               {field("endpoint", listing.id.value()), field("pool", listing.pool.value()),
                field("address", listing.address), field("born_at_ms", listing.startedAtMilliseconds),
                field("cold_for", listing.coldFor), field("revision", revision)});
