--- a/src/gateway/call.cpp
+++ b/src/gateway/call.cpp
@@ -96,7 +96,7 @@
     }
     m_history.repetition = m_route->repetition;
     m_history.maximumAttempts = m_route->maximumAttempts;
-    m_eventCutter = EventSplitter(m_request.lastEvent);
+    m_eventSplitter = EventSplitter(m_request.lastEvent);
     return absl::OkStatus();
 }
 
@@ -303,7 +303,7 @@
         return 0;
     }
     const TokenBounds &tokens = *m_request.tokens;
-    std::int64_t output = m_eventCutter.count() * m_pool->tokensPerEvent;
+    std::int64_t output = m_eventSplitter.count() * m_pool->tokensPerEvent;
     if (!m_route->isStreamed && m_isAnswered) {
         output = tokens.maximumOutput;
     }
@@ -427,7 +427,7 @@
                {field("call", m_request.id.value()), field("outcome", outcome), field("status", m_answeredStatus),
                 field("route", route), field("organisation", organisation), field("attempts", m_history.sent),
                 field("endpoint", m_attempt.placement.endpoint.value()),
-                field("pool", m_pool ? m_pool->name.value() : std::string()), field("events", m_eventCutter.count()),
+                field("pool", m_pool ? m_pool->name.value() : std::string()), field("events", m_eventSplitter.count()),
                 field("tokens", m_isReserved ? usedTokens() : 0), field("reserved_after", m_reservationTime),
                 field("waited", m_queueWait), field("first_answer", m_firstAnswerTime.value_or(Duration::zero())),
                 field("taken", taken),
--- a/src/gateway/call.h
+++ b/src/gateway/call.h
@@ -152,7 +152,7 @@
     Attempt m_attempt;
     /// The attempt at another endpoint that replaces `m_attempt` once it has begun to answer.
     std::optional<Attempt> m_successor;
-    EventSplitter m_eventCutter;
+    EventSplitter m_eventSplitter;
     /// The last decision on whether a further attempt may be made; for the log.
     std::optional<FurtherAttempt> m_furtherAttempt;
     std::optional<Duration> m_firstAnswerTime;
--- a/src/gateway/callattempt.cpp
+++ b/src/gateway/callattempt.cpp
@@ -121,7 +121,7 @@
     dispatch.organisation = m_organisation ? m_organisation->name : OrganisationId();
     dispatch.timeLeft = m_deadline - m_services.timers.now();
     dispatch.priority = priority();
-    dispatch.lastEvent = m_eventCutter.lastEvent();
+    dispatch.lastEvent = m_eventSplitter.lastEvent();
     attempt.lastActivityAt = m_services.timers.now();
     attempt.connection->startSending(m_services.protocol.endpointCall(m_exchange.request(), dispatch));
 }
@@ -284,7 +284,7 @@
               {field("call", m_request.id.value()), field("content", fingerprint().toString()),
                field("endpoint", attempt.placement.endpoint.value()), field("address", attempt.placement.address),
                field("end", attemptEndName(end)), field("reason", std::string(attempt.failure.message())),
-               field("sent", m_history.sent), field("events", m_eventCutter.count()),
+               field("sent", m_history.sent), field("events", m_eventSplitter.count()),
                field("may_have_run", m_history.mayHaveRun), field("silent_for", silenceDuration(attempt)),
                field("noticed_late", wait.late), field("unread", wait.unread), field("time_left", timeLeft())});
 }
--- a/src/gateway/callintake.cpp
+++ b/src/gateway/callintake.cpp
@@ -97,16 +97,16 @@
 void CallIntake::updateAway()
 {
     const Instant now = m_timers.now();
-    const bool isAway = m_shedder.isDiverting(now) || m_link.isDiverting(now);
-    if (isAway && m_timer == 0) {
+    const bool isDiverting = m_shedder.isDiverting(now) || m_link.isDiverting(now);
+    if (isDiverting && m_timer == 0) {
         m_timer = m_timers.after(m_settings.divertFor, [this] {
             m_timer = 0;
             updateAway();
         });
     }
-    if (std::exchange(m_isAway, isAway) != isAway) {
-        kLog.warning(isAway ? "overloaded, reporting not ready to the load balancer"
-                            : "no longer overloaded, reporting ready again",
+    if (std::exchange(m_isDiverting, isDiverting) != isDiverting) {
+        kLog.warning(isDiverting ? "overloaded, reporting not ready to the load balancer"
+                                 : "no longer overloaded, reporting ready again",
                      {field("delay", m_queueDelay)});
         m_onAwayChanged();
     }
--- a/src/gateway/callintake.h
+++ b/src/gateway/callintake.h
@@ -22,7 +22,7 @@
 class CallIntake : public RequestIntake
 {
 public:
-    /// `onAwayChanged` is called whenever the value of `isAway` changes.
+    /// `onAwayChanged` is called whenever the value of `isDiverting` changes.
     CallIntake(WorkerPool &workers, TimerService &timers, const CallProtocol &protocol, CallMetrics &metrics,
                LogSampler &sampler, LinkShedder &link, LoadShedderSettings settings,
                std::function<void()> onAwayChanged);
@@ -35,9 +35,9 @@
     HttpResponse refuse(const HttpRequest &request) override;
 
     /// Whether the load balancer should send new callers to other instances for now.
-    bool isAway() const
+    bool isDiverting() const
     {
-        return m_isAway;
+        return m_isDiverting;
     }
 
 private:
@@ -58,7 +58,7 @@
     Duration m_queueDelay{};
     Instant m_probeStartedAt{};
     bool m_isProbePending = false;
-    bool m_isAway = false;
+    bool m_isDiverting = false;
     bool m_isStopped = false;
     TimerId m_timer = 0;
     std::shared_ptr<int> m_alive = std::make_shared<int>(0);
--- a/src/gateway/callrelay.cpp
+++ b/src/gateway/callrelay.cpp
@@ -82,7 +82,7 @@
 
 net::awaitable<Call::AttemptResult> Call::relayStream(const AnswerHead &head)
 {
-    m_eventCutter.restart();
+    m_eventSplitter.restart();
     while (true) {
         const absl::StatusOr<std::string> data = co_await awaitEvents();
         if (!data.ok()) {
@@ -91,7 +91,7 @@
         if (data->empty()) {
             break;
         }
-        const std::string events = m_eventCutter.take(*data);
+        const std::string events = m_eventSplitter.take(*data);
         if (!events.empty()) {
             const absl::Status status = co_await forwardToCaller(head, events);
             if (!status.ok()) {
@@ -99,11 +99,11 @@
                 co_return AttemptEnd::Broken;
             }
         }
-        if (m_eventCutter.hasGap()) {
+        if (m_eventSplitter.hasGap()) {
             co_return AttemptEnd::Broken;
         }
     }
-    if (!m_eventCutter.isBetweenEvents()) {
+    if (!m_eventSplitter.isBetweenEvents()) {
         co_return AttemptEnd::Broken;
     }
     if (!m_hasStreamStarted) {
--- a/src/gateway/callsuccessor.cpp
+++ b/src/gateway/callsuccessor.cpp
@@ -51,7 +51,7 @@
     if (m_furtherAttempt != FurtherAttempt::Granted && !std::exchange(m_attempt.isSilenceLogged, true)) {
         kLog.info("endpoint silent and no further attempt possible, still waiting for it",
                   {field("call", m_request.id.value()), field("endpoint", m_attempt.placement.endpoint.value()),
-                   field("events", m_eventCutter.count()), field("silent_for", silenceDuration(m_attempt)),
+                   field("events", m_eventSplitter.count()), field("silent_for", silenceDuration(m_attempt)),
                    field("further_attempt", furtherAttemptName(*m_furtherAttempt)), field("time_left", timeLeft())});
     }
     co_return false;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -156,8 +156,9 @@
     m_metrics.beforeCollection([this] {
         updateGauges();
     });
-    m_relayedStore.setReadPathCallback([](bool isDetour) {
-        kLog.warning(isDetour ? "store unreachable, reading it through a home" : "store read directly again", {});
+    m_relayedStore.setReadPathCallback([](bool isReadingThroughHome) {
+        kLog.warning(
+            isReadingThroughHome ? "store unreachable, reading it through a home" : "store read directly again", {});
     });
     follow(m_configurationFollower, m_adapter.catalogue->configurationPrefix());
     follow(m_endpointFollower, m_adapter.catalogue->endpointPrefix());
@@ -255,12 +256,12 @@
             log.noteChanges(progress.changes);
         }
     });
-    follower.setReachabilityCallback([this, prefix](bool isReached) {
-        if (isReached) {
+    follower.setReachabilityCallback([this, prefix](bool isStoreReachable) {
+        if (isStoreReachable) {
             m_homes.forgetFailures();
             m_gate.registry().noteStoreBack(m_timers.now());
         }
-        kLog.warning(isReached ? "store reached again" : "store lost", {field("prefix", prefix)});
+        kLog.warning(isStoreReachable ? "store reached again" : "store lost", {field("prefix", prefix)});
     });
     follower.start();
 }
@@ -283,7 +284,7 @@
     if (isServing()) {
         m_server.startAccepting();
     }
-    m_admin.setReady(isServing() && !m_isStopping && !m_intake.isAway());
+    m_admin.setReady(isServing() && !m_isStopping && !m_intake.isDiverting());
 }
 
 boost::asio::awaitable<void> Gateway::serve(HttpExchange &exchange)
--- a/src/libradishswitch/serving/callgate.cpp
+++ b/src/libradishswitch/serving/callgate.cpp
@@ -98,8 +98,8 @@
     if (query.lateAfter == Duration::zero() || m_settings.ignoresPressure) {
         return false;
     }
-    const double pressure = m_placement.pressure(query, m_timers.now());
-    return pressure > 0 && m_random.fraction() < pressure;
+    const double overload = m_placement.overload(query, m_timers.now());
+    return overload > 0 && m_random.fraction() < overload;
 }
 
 bool CallGate::tryPlace(const PlacementQuery &query, Callback &callback)
@@ -168,7 +168,7 @@
     PlacedCall &placed = it->second;
     placed.isAnswered = true;
     const Instant now = m_timers.now();
-    m_placement.noteTaken(placed.slot, placed.at);
+    m_placement.noteAccepted(placed.slot, placed.at);
     m_placement.notePrefilled(placed.slot, placed.prefillTokens);
     m_placement.noteFirstAnswer(placed.slot, placed.prefillTokens, now - placed.at, now);
 }
@@ -291,9 +291,9 @@
         m_placement.notePrefilled(placed.slot, placed.prefillTokens);
     }
     if (end == RunEnd::Ok) {
-        m_placement.noteTaken(placed.slot, placed.at);
+        m_placement.noteAccepted(placed.slot, placed.at);
     }
-    notePressure(placed, end);
+    noteOverload(placed, end);
     // A failure that was already counted when the endpoint fell silent is not counted again.
     const bool isCounted = end == RunEnd::Failed && placed.isSilent;
     m_placement.noteEnded(placed.slot, isCounted ? RunEnd::Cancelled : end, m_timers.now());
@@ -302,13 +302,13 @@
 
 // A refusal means that the endpoint's queue is full, so it counts as a late answer. Failed and cancelled calls say
 // nothing about the endpoint's load.
-void CallGate::notePressure(const PlacedCall &placed, RunEnd end)
+void CallGate::noteOverload(const PlacedCall &placed, RunEnd end)
 {
     if (placed.lateAfter == Duration::zero() || end == RunEnd::Failed || end == RunEnd::Cancelled) {
         return;
     }
     const Instant now = m_timers.now();
-    m_placement.notePressure(placed.slot, end == RunEnd::Refused || now - placed.at > placed.lateAfter, now);
+    m_placement.noteOverload(placed.slot, end == RunEnd::Refused || now - placed.at > placed.lateAfter, now);
 }
 
 // Places waiting calls in the queue's order. A call goes back into the queue if none of the endpoints with room may be
--- a/src/libradishswitch/serving/callgate.h
+++ b/src/libradishswitch/serving/callgate.h
@@ -144,7 +144,7 @@
     std::optional<absl::Status> refusalIfAllBackedOff(const PlacementQuery &query) const;
     void markCold(const std::vector<EndpointSlot> &slots);
     bool shouldShed(const PlacementQuery &query);
-    void notePressure(const PlacedCall &placed, RunEnd end);
+    void noteOverload(const PlacedCall &placed, RunEnd end);
     bool tryPlace(const PlacementQuery &query, Callback &callback);
     void wait(const PlacementQuery &query, Callback callback);
     void admitWaiting(const PoolId &pool);
--- a/src/libradishswitch/serving/callplacement.cpp
+++ b/src/libradishswitch/serving/callplacement.cpp
@@ -195,21 +195,21 @@
 
 // A single slow endpoint needs no shedding, since placement avoids it. Only if even the least loaded endpoint answers
 // late does the pool have more work than it can do in time.
-double CallPlacement::pressure(const PlacementQuery &query, Instant now) const
+double CallPlacement::overload(const PlacementQuery &query, Instant now) const
 {
     std::optional<double> least;
     for (const EndpointSlot slot : m_registry.pool(query.pool)) {
         if (isCandidate(slot, query, SelectionMode::Preferred, now)) {
-            const double pressure = m_registry.at(slot).pressure.refusalShare(now);
-            least = least ? std::min(*least, pressure) : pressure;
+            const double overload = m_registry.at(slot).overload.refusalShare(now);
+            least = least ? std::min(*least, overload) : overload;
         }
     }
     return least.value_or(0);
 }
 
-void CallPlacement::notePressure(EndpointSlot slot, bool isLate, Instant now)
+void CallPlacement::noteOverload(EndpointSlot slot, bool isLate, Instant now)
 {
-    m_registry.at(slot).pressure.noteAnswer(isLate, now);
+    m_registry.at(slot).overload.noteAnswer(isLate, now);
 }
 
 std::int64_t CallPlacement::noteSent(EndpointSlot slot, const PlacementQuery &query, Instant now)
@@ -292,7 +292,7 @@
     return true;
 }
 
-void CallPlacement::noteTaken(EndpointSlot slot, Instant sentAt)
+void CallPlacement::noteAccepted(EndpointSlot slot, Instant sentAt)
 {
     m_registry.at(slot).backoff.noteAccepted(sentAt);
     m_registry.at(slot).pause.noteAccepted(sentAt);
--- a/src/libradishswitch/serving/callplacement.h
+++ b/src/libradishswitch/serving/callplacement.h
@@ -42,10 +42,10 @@
 
     /// The fraction of such calls that should be shed, from 0 to 1, because all endpoints that could take them answer
     /// late.
-    double pressure(const PlacementQuery &query, Instant now) const;
+    double overload(const PlacementQuery &query, Instant now) const;
 
     /// Records whether an answer was late. Only calls whose latency indicates the endpoint's load are recorded.
-    void notePressure(EndpointSlot slot, bool isLate, Instant now);
+    void noteOverload(EndpointSlot slot, bool isLate, Instant now);
 
     /// Whether an endpoint has room but this process's share of its limited calls is used up.
     bool isLimitedByAllowances(const PlacementQuery &query, Instant now) const;
@@ -67,7 +67,7 @@
     bool noteBackoff(EndpointSlot slot, Duration backoff, std::size_t gateways, Instant now);
 
     /// The endpoint has begun to answer, or has answered, a call that was sent at `sentAt`.
-    void noteTaken(EndpointSlot slot, Instant sentAt);
+    void noteAccepted(EndpointSlot slot, Instant sentAt);
 
     /// A run failed, or its endpoint has been silent for too long.
     void noteFailed(EndpointSlot slot, Instant now);
--- a/src/libradishswitch/serving/endpointregistry.h
+++ b/src/libradishswitch/serving/endpointregistry.h
@@ -123,7 +123,7 @@
     double delaySeconds = 0;
     Instant delayNotedAt{};
     /// Overload of the endpoint, measured by the answers whose latency indicates its load.
-    EndpointOverload pressure;
+    EndpointOverload overload;
     EndpointEjection ejection;
 };
 
--- a/tests/core/budgets/shardwriter_test.cpp
+++ b/tests/core/budgets/shardwriter_test.cpp
@@ -158,7 +158,7 @@
     EXPECT_EQ(store.objects().at("ledger/0000").value, "{\"budgets\": ");
 }
 
-TEST_F(ShardWriterTest, storeCallBudget_moreRequestedThanAllowed_spreadsCalls)
+TEST_F(ShardWriterTest, storeCallLimiter_moreRequestedThanAllowed_spreadsCalls)
 {
     StoreCallLimiter budget(timers, 10, 5);
     int n = 0;
--- a/tests/core/serving/callallowances_test.cpp
+++ b/tests/core/serving/callallowances_test.cpp
@@ -98,7 +98,7 @@
               CallAllowances::kUnbounded);
 }
 
-class SlidingCountTest : public testing::Test
+class SlidingWindowCounterTest : public testing::Test
 {
 protected:
     static Instant at(int milliseconds)
@@ -111,7 +111,7 @@
 
 // Guards against twice the bound within one second, when half of the calls fall at the end of one window and half at
 // the start of the next.
-TEST_F(SlidingCountTest, anySpan_callsAtItsEdges_holdsNoMoreThanBound)
+TEST_F(SlidingWindowCounterTest, anySpan_callsAtItsEdges_holdsNoMoreThanBound)
 {
     for (int n = 0; n < 3; ++n) {
         EXPECT_TRUE(count.isBelow(3, at(900 + n)));
@@ -123,7 +123,7 @@
     EXPECT_FALSE(count.isBelow(3, at(1900)));
 }
 
-TEST_F(SlidingCountTest, count_boundOfZero_isNeverBelow)
+TEST_F(SlidingWindowCounterTest, count_boundOfZero_isNeverBelow)
 {
     EXPECT_FALSE(count.isBelow(0, at(0)));
 }
